--- a/internal/kube/engine/adoption.go
+++ b/internal/kube/engine/adoption.go
@@ -12,9 +12,9 @@
 	"heathshed/placer"
 )
 
-// adopter takes over tasks that an earlier process of this scheduler placed and that nodes report as
-// running. It rebuilds the Jobs of these tasks. It has no state of its own: adopted tasks, requests and
-// Jobs are added to the tables of the engine.
+// adopter takes over tasks that already run on nodes when the scheduler starts, because an earlier process
+// of this scheduler placed them. It rebuilds the Jobs of these tasks. The adopter has no state of its own:
+// it adds the tasks, their placement requests and their Jobs to the tables of the engine.
 type adopter struct {
 	*environment
 	tasks         *taskTable
@@ -28,8 +28,9 @@
 	publisher     *publisher
 }
 
-// adoptTask reports a task that already runs on a node to the placer as adopted. It also creates a placement
-// request for the task. The request is closed from the start because the task needs no placement.
+// adoptTask binds a task to the node that already runs it, and reports the task to the placer in an
+// Adopted event. It also creates a placement request for the task. The request is closed from the start
+// because the task needs no placement.
 func (a *adopter) adoptTask(task *task, node *node, number int, incarnation string, revision int64) {
 	request := &placementRequest{task: task, closed: true}
 	a.requests.add(request)
@@ -47,8 +48,9 @@
 	a.lifecycle.bind(task, adoptedAttempt)
 }
 
-// adoptPod adopts a Pod that an earlier process placed, and rebuilds its Job from the manifest (the Job as
-// JSON) that the node stores with the Pod. If the Pod cannot be adopted, it is stopped.
+// adoptPod adopts the task of a Pod that an earlier process of this scheduler placed. It rebuilds the Job
+// of the Pod from the manifest, which is the Job as JSON; the node stores the manifest with the Pod. If
+// the Pod cannot be adopted, adoptPod orders the node to stop it.
 func (a *adopter) adoptPod(node *node, reportedPod *corev1.Pod) {
 	class, invalidErr := a.cfg.classFromLabels(reportedPod.Labels)
 	if invalidErr != nil || a.publisher.storedPod(reportedPod.Namespace, reportedPod.Name) != nil {
@@ -76,15 +78,16 @@
 // reject every attempt to start the Pod.
 const maxAttemptNumber = 1 << 30
 
-// attemptNumber returns the number of the attempt by which a node accepted a Pod. It returns 1 if the Pod
-// does not state a number of at least 1.
+// attemptNumber returns the number of the attempt through which a node accepted a Pod. The node states
+// this number in an annotation of the Pod. If the annotation is missing or invalid, attemptNumber returns
+// 1.
 func attemptNumber(pod *corev1.Pod) int {
 	number, _ := strconv.Atoi(pod.Annotations[wellknown.AttemptAnnotation])
 	return max(number, 1)
 }
 
-// newAdoptedTask returns a task for a Pod that a node reports as running. The task counts as settled because
-// the process that placed it has already reported its final outcome.
+// newAdoptedTask returns a task for a Pod that a node reports as running. The task counts as settled
+// because the process that placed it has already stored its final outcome.
 func (a *adopter) newAdoptedTask(reportedPod *corev1.Pod, class int) *task {
 	// If the namespace no longer belongs to a tenant, the task counts towards the first tenant.
 	tenant, _ := a.cfg.tenantOf(reportedPod.Namespace)
@@ -102,8 +105,8 @@
 	}
 }
 
-// adoptedPod returns the Pod that is stored for an adopted task. It is derived from the Pod that the node
-// reported.
+// adoptedPod returns the Pod that the engine stores for an adopted task. It copies the Pod that the node
+// reported, and replaces the status of the Pod.
 func (a *adopter) adoptedPod(node *node, reportedPod *corev1.Pod) *corev1.Pod {
 	now := a.apiNow()
 	pod := reportedPod.DeepCopy()
@@ -123,8 +126,8 @@
 	return pod
 }
 
-// adoptJob attaches an adopted task to its Job and rebuilds the Job if it is not stored. A task whose Pod
-// contains no valid manifest of a Job remains without a Job.
+// adoptJob attaches an adopted task to its Job. If the Job is not stored, adoptJob first rebuilds it. A
+// task whose Pod contains no valid manifest remains without a Job.
 func (a *adopter) adoptJob(adoptedTask *task, reportedPod *corev1.Pod) {
 	var manifest batchv1.Job
 	err := json.Unmarshal([]byte(reportedPod.Annotations[wellknown.JobManifest]), &manifest)
@@ -144,9 +147,9 @@
 	a.adoptIndex(job, index, adoptedTask)
 }
 
-// rebuildJob stores a Job again from the manifest that a node keeps with one of the Job's Pods. Tasks of the
-// Job are not started until the other nodes have had time to report their Pods. rebuildJob returns nil if the
-// present configuration does not permit the Job.
+// rebuildJob stores a Job again after a restart of the scheduler. It gets the manifest that a node stored
+// with a Pod of the Job. The engine does not start tasks of the Job until the other nodes have had time to
+// report their Pods. rebuildJob returns nil if the present configuration does not permit the Job.
 func (a *adopter) rebuildJob(manifest *batchv1.Job) *job {
 	manifest.Generation = 1
 	rebuiltJob, err := a.jobController.newJob(manifest)
@@ -167,9 +170,9 @@
 	a.jobStatus.markDirty(job)
 }
 
-// finishJobAdoption decides on the completion indexes of a rebuilt Job for which no node has reported a task.
-// The task of such an index may have ended or may never have started. The index is started again if the Job's
-// tasks are idempotent, and fails otherwise.
+// finishJobAdoption handles the completion indexes of a rebuilt Job for which no node has reported a task.
+// The task of such an index may have ended or may never have started. The index is started again if the
+// tasks of the Job are idempotent. Otherwise the index fails.
 func (a *adopter) finishJobAdoption(job *job) {
 	if job.isDeleted() || !a.jobs.contains(job) {
 		return
--- a/internal/kube/engine/attempt.go
+++ b/internal/kube/engine/attempt.go
@@ -20,26 +20,27 @@
 
 	sentAt              placer.Seconds
 	timeoutTimer        *timer
-	sentIncarnation     string     // the node's incarnation that the engine knew when it sent the attempt
-	latestReport        *podReport // latest report of the Pod by the node's watch while the attempt is in flight; nil if none
-	acceptedIncarnation string     // the node's incarnation when it accepted the attempt
-	revision            int64      // the Pod's revision at the node when it accepted the attempt
+	sentIncarnation     string     // incarnation of the node that the engine knew when it sent the attempt
+	latestReport        *podReport // latest report of the Pod that arrived during the attempt; nil if there is none
+	acceptedIncarnation string     // incarnation of the node that accepted the attempt
+	revision            int64      // revision of the Pod at the node when the node accepted the attempt
 
-	fenceTimer        *timer // fires when the next stop order is due
-	stopOrderInFlight bool   // set while the engine waits for the answer to a stop order that was sent because the outcome is unknown
+	fenceTimer        *timer // fires when the next stop order for the attempt is due
+	stopOrderInFlight bool   // set while a stop order that fences the attempt has not been answered
 	stopOrdersSent    int    // number of stop orders sent for the attempt; determines the delay before the next one
 }
 
-// podReport is the state of a Pod as reported by the watch of the Pod's node.
+// podReport is the state of a Pod as its node reports it to the watch of the node's Pods.
 type podReport struct {
 	pod         *corev1.Pod
 	deleted     bool
-	incarnation string // the node's incarnation at the time of the report
+	incarnation string // incarnation of the node that the engine knew when the report arrived
 	revision    int64
 }
 
-// isNewerThan returns true if the node sent the Pod report after the given answer. Revisions are comparable
-// only within one incarnation of a node.
+// isNewerThan reports whether the node sent the Pod report after the given answer. It returns false if the
+// report is nil. It also returns false if the report and the answer belong to different incarnations of
+// the node, because their revisions are then not comparable.
 func (r *podReport) isNewerThan(answer *AttemptAnswer) bool {
 	return r != nil && r.incarnation == answer.Incarnation && r.revision > answer.Revision
 }
@@ -58,8 +59,8 @@
 	return endedEvent
 }
 
-// usageEvent returns the event that passes a resource usage value to the placer. The node reported the value
-// for the attempt.
+// usageEvent returns an event that tells the placer a usage value of the given kind, such as the memory
+// that the task of the attempt uses.
 func (a *attempt) usageEvent(kind placer.UsageKind, value float64) placer.Event {
 	usageEvent := a.event(placer.UsageReported)
 	usageEvent.Usage = kind
@@ -123,12 +124,12 @@
 	Attempt     int
 	Node        string
 	Accepted    bool
-	Result      placer.Result  // how the attempt failed; unused if Accepted is set
+	Result      placer.Result  // how the attempt failed; not used if Accepted is set
 	Reason      placer.Reason  // why the node rejected the attempt, if the node stated a reason
 	Message     string         // message text from the node
 	Report      *placer.Report // load report from the node; nil if the answer contains none
 	Incarnation string         // incarnation of the node; "" if the answer does not state it
-	Revision    int64          // the Pod's revision at the node
+	Revision    int64          // revision of the Pod at the node
 	Pod         *corev1.Pod    // the Pod as reported by the node that accepted it; may be nil
 }
 
@@ -150,8 +151,8 @@
 	return a.Node + ": rejected"
 }
 
-// timeoutMessageSuffix ends the message of an attempt that timed out, either in the engine (handleTimeout) or
-// in the caller that sent the attempt (AttemptAnswer.failure).
+// timeoutMessageSuffix is the end of the failure message of an attempt that timed out. The time-out occurs
+// either in the engine (handleTimeout) or in the caller that sent the attempt (AttemptAnswer.failure).
 const timeoutMessageSuffix = ": no answer in time"
 
 // handleAnswer implements Engine.AttemptDone.
@@ -184,8 +185,8 @@
 	return a != nil && a.number == number && a.node.name == nodeName
 }
 
-// stopRemovedTask handles the answer to an attempt whose task was removed from the engine. If the node has
-// accepted the attempt, the node must stop the Pod.
+// stopRemovedTask handles the answer to an attempt if the engine has already removed the task of the
+// attempt. If the node has accepted the attempt, the node must stop the Pod.
 func (t *attemptTracker) stopRemovedTask(answer *AttemptAnswer) {
 	node := t.nodes.getByName(answer.Node)
 	if !answer.Accepted || node == nil {
@@ -222,7 +223,7 @@
 	t.post(boundEvent)
 	t.requests.complete(attempt.request, true)
 	t.lifecycle.bind(task, attempt)
-	// The node's watch may have reported a newer state of the Pod before the answer arrived.
+	// The watch of the node's Pods may have reported a newer state of the Pod before the answer arrived.
 	if report := attempt.latestReport; report.isNewerThan(answer) {
 		t.observer.observeRunning(task, report.pod, report.deleted)
 	} else if answer.Pod != nil {
@@ -266,8 +267,8 @@
 	t.requests.removeIfUnused(attempt.request)
 }
 
-// podForNode returns a task's Pod in the form in which it is sent to nodes. Its labels and annotations hold
-// everything that a restarted scheduler needs in order to adopt the task.
+// podForNode returns the Pod of a task in the form in which the engine sends it to nodes. The labels and
+// annotations of the Pod hold everything that a restarted scheduler needs in order to adopt the task.
 func (t *attemptTracker) podForNode(task *task) *corev1.Pod {
 	storedPod := t.publisher.podOfTask(task)
 	if storedPod == nil {
@@ -285,9 +286,9 @@
 	return &pod
 }
 
-// hasUnknownOutcome reports whether the node may have accepted the attempt although the engine has received
-// no such answer.
+// hasUnknownOutcome reports whether the outcome of the attempt is unknown. The node may then have accepted
+// the attempt, but the engine has received no answer that says so.
 func (a *attempt) hasUnknownOutcome() bool { return a.task.attempts.isOutcomeUnknown(a) }
 
-// keepReport stores a report of the node's watch that arrives while the attempt is in flight.
+// keepReport stores a report about the attempt's Pod that arrives while the attempt is in flight.
 func (a *attempt) keepReport(report *podReport) { a.latestReport = report }
--- a/internal/kube/engine/attempt_history.go
+++ b/internal/kube/engine/attempt_history.go
@@ -4,14 +4,15 @@
 	"slices"
 )
 
-// runEvidence states whether an attempt has possibly run the task. The value never decreases.
+// runEvidence states what the engine knows about whether an attempt has run the task. The value of a task
+// never decreases.
 type runEvidence uint8
 
 const (
-	// neverAccepted means that every attempt that has ended was certainly not accepted.
+	// neverAccepted means that certainly no node has accepted any of the attempts that have ended.
 	neverAccepted runEvidence = iota
-	// possiblyAccepted means that a node accepted an attempt, or that the engine stopped waiting for an
-	// answer while the outcome of the attempt was unknown.
+	// possiblyAccepted means that a node has accepted an attempt, or that the outcome of an attempt is
+	// unknown or was unknown for some time.
 	possiblyAccepted
 	// possiblyRan means that an attempt with an unknown outcome has ended and may have run the task.
 	possiblyRan
@@ -28,12 +29,12 @@
 	lastNumber      int         // number of the latest attempt, counted over all placement requests of the task
 	inFlightAttempt *attempt    // the attempt that has not been answered yet; nil if there is none
 	runningAttempt  *attempt    // the attempt that a node accepted; nil if there is none
-	unknownOutcomes []*attempt  // attempts that a node may have accepted although the engine has received no such answer
-	evidence        runEvidence // whether an attempt has possibly run the task
+	unknownOutcomes []*attempt  // attempts whose outcome is unknown, as defined by attempt.hasUnknownOutcome
+	evidence        runEvidence // what the engine knows about whether an attempt has run the task
 	lastFailure     string      // message of the latest attempt or placement request that failed
 }
 
-// begin gives an attempt the next number and makes it the attempt in flight.
+// begin gives a new attempt the next attempt number of the task, and makes it the attempt in flight.
 func (h *attemptHistory) begin(attempt *attempt) {
 	h.lastNumber++
 	attempt.number = h.lastNumber
@@ -66,7 +67,7 @@
 	return h.inFlightAttempt == attempt || h.runningAttempt == attempt
 }
 
-// addUnknownOutcome records that the outcome of an attempt is unknown.
+// addUnknownOutcome records that the outcome of the given attempt is unknown.
 func (h *attemptHistory) addUnknownOutcome(attempt *attempt) {
 	h.unknownOutcomes = append(h.unknownOutcomes, attempt)
 	h.raiseEvidence(possiblyAccepted)
@@ -86,7 +87,7 @@
 // recordPossibleRun records that an attempt that has ended may have run the task.
 func (h *attemptHistory) recordPossibleRun() { h.raiseEvidence(possiblyRan) }
 
-// raiseEvidence sets the evidence to the given value unless it is higher already.
+// raiseEvidence sets the run evidence of the task to the given value unless the present value is higher.
 func (h *attemptHistory) raiseEvidence(evidence runEvidence) { h.evidence = max(h.evidence, evidence) }
 
 // hasUnknownOutcome reports whether the outcome of any attempt is unknown.
--- a/internal/kube/engine/attempt_history_test.go
+++ b/internal/kube/engine/attempt_history_test.go
@@ -8,20 +8,20 @@
 		apply func(history *attemptHistory, attempt *attempt)
 		want  runEvidence
 	}{
-		{"attempt in flight", func(*attemptHistory, *attempt) {}, neverAccepted},
-		{"attempt rejected by the node", func(history *attemptHistory, _ *attempt) { history.clearInFlight() }, neverAccepted},
-		{"attempt accepted by the node", func(history *attemptHistory, attempt *attempt) { history.bind(attempt) }, possiblyAccepted},
-		{"attempt with an unknown outcome", func(history *attemptHistory, attempt *attempt) { history.addUnknownOutcome(attempt) }, possiblyAccepted},
-		{"unknown outcome resolved because the task never ran", func(history *attemptHistory, attempt *attempt) {
+		{"attempt is in flight", func(*attemptHistory, *attempt) {}, neverAccepted},
+		{"node rejects the attempt", func(history *attemptHistory, _ *attempt) { history.clearInFlight() }, neverAccepted},
+		{"node accepts the attempt", func(history *attemptHistory, attempt *attempt) { history.bind(attempt) }, possiblyAccepted},
+		{"outcome of the attempt is unknown", func(history *attemptHistory, attempt *attempt) { history.addUnknownOutcome(attempt) }, possiblyAccepted},
+		{"unknown outcome becomes known and the task certainly never ran", func(history *attemptHistory, attempt *attempt) {
 			history.addUnknownOutcome(attempt)
 			history.removeUnknownOutcome(attempt)
 		}, possiblyAccepted},
-		{"unknown outcome resolved although the task may have run", func(history *attemptHistory, attempt *attempt) {
+		{"unknown outcome becomes known and the task may have run", func(history *attemptHistory, attempt *attempt) {
 			history.addUnknownOutcome(attempt)
 			history.removeUnknownOutcome(attempt)
 			history.recordPossibleRun()
 		}, possiblyRan},
-		{"another attempt accepted after a possible run", func(history *attemptHistory, attempt *attempt) {
+		{"node accepts the attempt after the task may have run already", func(history *attemptHistory, attempt *attempt) {
 			history.recordPossibleRun()
 			history.bind(attempt)
 		}, possiblyRan},
@@ -33,7 +33,7 @@
 			test.apply(history, attempt)
 
 			if history.evidence != test.want {
-				t.Errorf("the evidence that an attempt ran the task is %q, want %q", history.evidence, test.want)
+				t.Errorf("the run evidence of the task is %q, want %q", history.evidence, test.want)
 			}
 		})
 	}
@@ -53,7 +53,7 @@
 	history.bind(adoptedAttempt)
 	history.begin(nextAttempt)
 	if nextAttempt.number != 8 {
-		t.Errorf("after an adopted attempt with number 7, the next attempt has number %d, want 8", nextAttempt.number)
+		t.Errorf("the attempt after an adopted attempt with number 7 has the number %d, want 8", nextAttempt.number)
 	}
 }
 
@@ -67,13 +67,13 @@
 		number int
 		want   *attempt
 	}{
-		{"node and number of the attempt", "n", 2, unresolvedAttempt},
-		{"number at another node", "m", 2, nil},
-		{"another number at the node", "n", 1, nil},
+		{"node and number of the unresolved attempt", "n", 2, unresolvedAttempt},
+		{"number of the unresolved attempt but another node", "m", 2, nil},
+		{"node of the unresolved attempt but another number", "n", 1, nil},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			if got := history.unresolvedAttemptAt(test.node, test.number); got != test.want {
-				t.Errorf("unresolvedAttemptAt returned attempt %v, want %v", got, test.want)
+				t.Errorf("unresolvedAttemptAt returned the attempt %v for this node and number, want %v", got, test.want)
 			}
 		})
 	}
--- a/internal/kube/engine/calls.go
+++ b/internal/kube/engine/calls.go
@@ -12,33 +12,37 @@
 	"heathshed/placer"
 )
 
-// AttemptDone handles the answer to SendAttempt. It may be called even after AbandonAttempt.
+// AttemptDone handles a node's answer to a SendAttempt effect. The caller may also call it for an attempt
+// for which it has received an AbandonAttempt effect.
 func (e *Engine) AttemptDone(now placer.Seconds, answer AttemptAnswer) {
 	e.beginCall(now)
 	defer e.endCall()
 	e.attempts.handleAnswer(answer)
 }
 
-// DeletePod stops the task of a Pod. The Pod is removed as soon as the task has ended. DeletePod returns the
-// Pod as stored at the end of the call, or as last stored if it was removed. An empty uid or resourceVersion
-// is not checked. The possible errors are ErrNotFound and ErrConflict.
+// DeletePod stops the task of a Pod. The Pod is removed from the store as soon as the task has ended.
+// DeletePod returns the Pod as stored at the end of the call, or as last stored if the call has removed
+// it. If uid or resourceVersion is not empty, it must match the stored Pod. The possible errors are
+// ErrNotFound and ErrConflict.
 func (e *Engine) DeletePod(now placer.Seconds, namespace, name string, uid types.UID, resourceVersion string) (*corev1.Pod, error) {
 	e.beginCall(now)
 	defer e.endCall()
 	return e.podController.deleteByName(namespace, name, uid, resourceVersion)
 }
 
-// EvictPod stops a running Pod, and its Job starts the task again. A Pod that is not running is deleted. An
-// empty uid is not checked. The possible errors are ErrNotFound and ErrConflict.
+// EvictPod stops the task of a running Pod, and the Job then starts a new task in its place. If the Pod is
+// not running, EvictPod deletes the Pod. If uid is not empty, it must match the stored Pod. The possible
+// errors are ErrNotFound and ErrConflict.
 func (e *Engine) EvictPod(now placer.Seconds, namespace, name string, uid types.UID) error {
 	e.beginCall(now)
 	defer e.endCall()
 	return e.podController.evict(namespace, name, uid)
 }
 
-// CreateJob stores a Job that the API server has validated and defaulted, and starts its tasks. It returns
-// the stored Job. A dry run stores nothing and returns the Job that would be stored. The possible errors are
-// ErrExists, ErrStopping, ErrTooMany and *InvalidError.
+// CreateJob stores a Job and starts its tasks. The API server has already validated the Job and has set
+// the default values of its fields. CreateJob returns the stored Job. A dry run stores nothing and returns
+// the Job that would be stored. The possible errors are ErrExists, ErrStopping, ErrTooMany and
+// *InvalidError.
 func (e *Engine) CreateJob(now placer.Seconds, object *batchv1.Job, dryRun bool) (*batchv1.Job, error) {
 	e.beginCall(now)
 	defer e.endCall()
@@ -46,18 +50,18 @@
 }
 
 // UpdateJob replaces the mutable parts of a Job: labels, annotations, suspend, parallelism,
-// ttlSecondsAfterFinished and activeDeadlineSeconds. An empty UID or resource version in the update is not
-// checked. UpdateJob returns the stored Job. A dry run stores nothing and returns the Job that would be
-// stored. The possible errors are ErrNotFound, ErrConflict and *InvalidError.
+// ttlSecondsAfterFinished and activeDeadlineSeconds. If the update contains a UID or a resource version,
+// it must match the stored Job. UpdateJob returns the stored Job. A dry run stores nothing and returns the
+// Job that would be stored. The possible errors are ErrNotFound, ErrConflict and *InvalidError.
 func (e *Engine) UpdateJob(now placer.Seconds, update *batchv1.Job, dryRun bool) (*batchv1.Job, error) {
 	e.beginCall(now)
 	defer e.endCall()
 	return e.jobController.update(update, dryRun)
 }
 
-// DeleteJob deletes a Job. The propagation policy determines what happens to the Job's Pods; an empty policy
-// means Background. DeleteJob returns the Job as it was last stored. An empty uid or resourceVersion is not
-// checked. The possible errors are ErrNotFound and ErrConflict.
+// DeleteJob deletes a Job. The propagation policy determines what happens to the Job's Pods; an empty
+// policy means Background. DeleteJob returns the Job as it was last stored. If uid or resourceVersion is
+// not empty, it must match the stored Job. The possible errors are ErrNotFound and ErrConflict.
 func (e *Engine) DeleteJob(now placer.Seconds, namespace, name string, uid types.UID, resourceVersion string,
 	propagation metav1.DeletionPropagation) (*batchv1.Job, error) {
 	e.beginCall(now)
@@ -65,23 +69,25 @@
 	return e.jobController.deleteByName(namespace, name, uid, resourceVersion, propagation)
 }
 
-// NodesListed applies a full list of nodes, or a list of changes, from the inventory. If kind is Changes,
-// removed contains the names of the nodes that left the inventory. If kind is FullList, all nodes that the
-// list does not contain have left the inventory.
+// NodesListed handles a report of the inventory, which is the server that lists all nodes. The report is
+// either a full list of nodes or a list of changes. If kind is Changes, removed contains the names of the
+// nodes that have left the inventory. If kind is FullList, every node that is not in the list has left the
+// inventory.
 func (e *Engine) NodesListed(now placer.Seconds, kind Listing, nodes []*corev1.Node, removed []string) {
 	e.beginCall(now)
 	defer e.endCall()
 	e.nodes.applyListing(kind, nodes, removed)
 }
 
-// NodeCounts returns the number of nodes that the inventory lists as ready or draining, and the number of
-// those whose Pods are watched.
+// NodeCounts returns the number of nodes that are ready or draining according to the inventory. It also
+// returns how many of these nodes have their Pods watched by the caller.
 func (e *Engine) NodeCounts() (listedCount, watchedCount int) {
 	return e.nodes.countNodes()
 }
 
 // PodsListed handles the complete list of this scheduler's Pods on a node. The node states the revision of
-// the list and its own incarnation. Running tasks that are missing from the list have ended.
+// the list and its own incarnation. A running task of the node has ended if the list does not contain its
+// Pod.
 func (e *Engine) PodsListed(now placer.Seconds, nodeName, incarnation string, revision int64, pods []*corev1.Pod) {
 	e.beginCall(now)
 	defer e.endCall()
@@ -95,26 +101,27 @@
 	e.observer.observePodChange(nodeName, pod, deleted)
 }
 
-// NodeUnresponsive records that the Pods of a node can no longer be watched.
+// NodeUnresponsive records that the caller can no longer watch the Pods of a node.
 func (e *Engine) NodeUnresponsive(now placer.Seconds, nodeName string) {
 	e.beginCall(now)
 	defer e.endCall()
 	e.nodes.markUnresponsive(nodeName)
 }
 
-// UpdateNode replaces the labels of a Node. If drain is not nil, UpdateNode also starts or ends a drain of
-// the node, and tells the placer at once. If drain is nil, the drain that API clients requested stays as it
-// is. The field spec.unschedulable cannot replace this parameter, because it is also true if only the
-// inventory drains the node. An empty UID or resource version in the update is not checked. UpdateNode
-// returns the stored Node. A dry run stores nothing and returns the Node that would be stored. The possible
-// errors are ErrNotFound, ErrConflict and *InvalidError.
+// UpdateNode replaces the labels of a Node. If drain is not nil, API clients request that a drain of the
+// node starts or ends; UpdateNode then tells the placer at once. If drain is nil, the latest drain request
+// of API clients remains in force. The field spec.unschedulable of the update does not show whether API
+// clients request a drain: the field is also true if only the inventory, the server that lists all nodes,
+// marks the node as unschedulable. If the update contains a UID or a resource version, it must match the
+// stored Node. UpdateNode returns the stored Node. A dry run stores nothing and returns the Node that
+// would be stored. The possible errors are ErrNotFound, ErrConflict and *InvalidError.
 func (e *Engine) UpdateNode(now placer.Seconds, update *corev1.Node, drain *bool, dryRun bool) (*corev1.Node, error) {
 	e.beginCall(now)
 	defer e.endCall()
 	return e.nodes.updateNode(update, drain, dryRun)
 }
 
-// StopDone handles the answer to StopTask.
+// StopDone handles a node's answer to a StopTask effect.
 func (e *Engine) StopDone(now placer.Seconds, answer StopAnswer) {
 	e.beginCall(now)
 	defer e.endCall()
--- a/internal/kube/engine/characterization_test.go
+++ b/internal/kube/engine/characterization_test.go
@@ -11,12 +11,13 @@
 	"heathshed/internal/kube/wellknown"
 )
 
-// The characterization tests run an engine under seeded scripts, and compare every effect, every stored
-// change and every error with golden files. These files may be regenerated with HEATHSHED_UPDATE_GOLDEN=1
-// only if behavior is meant to change; see package goldentest.
+// The characterization tests run an engine under seeded scripts, and compare every effect, every change of
+// the store and every error with golden files. The golden files may be regenerated with
+// HEATHSHED_UPDATE_GOLDEN=1 only if behavior is meant to change. Package goldentest describes how.
 
-// TestCharacterizeMigrations compares with a golden file how an engine migrates tasks away from nearly empty
-// nodes if nodes are expensive and migrations are cheap.
+// TestCharacterizeMigrations compares the migrations of tasks with a golden file. The configured costs of
+// nodes are high and the costs of migrations are low, so the engine moves tasks away from nearly empty
+// nodes.
 func TestCharacterizeMigrations(t *testing.T) {
 	script := newScript(t, 6, func(config *engine.Config) {
 		config.Placer.Costs.Node, config.Placer.Costs.Migration, config.Placer.Costs.CrossZone = 5, 0.01, 0
@@ -37,13 +38,13 @@
 		}
 	}
 	if script.engine.Stats.MigratedTasks == 0 {
-		t.Error("the engine migrated no task, want at least one")
+		t.Error("the engine migrated no task under the script, want at least one migration")
 	}
 	script.finish()
 	script.recorder.Check(t, "script-moves")
 }
 
-// runningPod returns a running Pod that an earlier scheduler process has placed.
+// runningPod returns a running Pod that an earlier process of the given scheduler has placed.
 func runningPod(scheduler string, number int) *corev1.Pod {
 	pod := &corev1.Pod{}
 	pod.Name = fmt.Sprintf("found-%d", number)
@@ -57,14 +58,14 @@
 }
 
 // TestCharacterizeEngineUnderScripts compares the output of an engine with golden files. The engine gets
-// seeded random calls and these faults: lost and late answers, nodes that restart, disappear, become
+// seeded random calls and these faults: lost answers, late answers, nodes that restart, disappear, become
 // unresponsive or drain, and schedulers that are killed and restarted.
 func TestCharacterizeEngineUnderScripts(t *testing.T) {
 	for _, run := range []struct {
-		name      string
+		name      string // part of the name of the golden file
 		seed      uint64
-		steps     int
-		restarts  bool
+		steps     int  // number of random calls
+		restarts  bool // whether the scheduler is restarted every 60 steps
 		configure func(config *engine.Config)
 	}{
 		{"faults", 1, 400, false, nil},
--- a/internal/kube/engine/config.go
+++ b/internal/kube/engine/config.go
@@ -16,27 +16,31 @@
 	Name string
 
 	Placer       placer.Config
-	Classes      []string // names of Placer.Classes, in the same order
+	Classes      []string // names of the task classes in Placer.Classes, in the same order
 	DefaultClass int      // index of the task class for tasks without the label wellknown.Class
-	NodeTypes    []string // names of Placer.NodeTypes, in the same order
-	Tenants      []string // namespaces of Placer.Tenants, in the same order; if empty, all namespaces are accepted
+	NodeTypes    []string // names of the node types in Placer.NodeTypes, in the same order
+	Tenants      []string // namespaces of Placer.Tenants, in the same order; if empty, Jobs may be in any namespace
 	Zone         string   // topology zone of this scheduler
 
-	Retry     retry.Policy     // the zero value means retry.DefaultPolicy
-	Admission admission.Config // the zero value admits every placement request
+	Retry     retry.Policy     // settings for retries; the zero value means retry.DefaultPolicy
+	Admission admission.Config // settings of the admission controller; the zero value admits every placement request
 	Seed      uint64           // seed of the random number generator
 
 	BaseRevision    int64 // the resource versions of stored objects are greater than this value
 	HistoryEntries  int   // number of changes that each table of the store keeps for watches
 	MaxHistoryBytes int64 // maximum cost of the changes kept for watches, as estimated by store.Cost; 0 means no limit
-	MaxPods         int   // maximum number of stored and pending Pods; a Job that would exceed it is rejected
-	MaxObjectBytes  int64 // maximum cost of stored and pending objects, as estimated by store.Cost; 0 means no limit
+	// MaxPods is the maximum number of Pods that are stored or have yet to be created. A Job that would exceed
+	// this number is rejected.
+	MaxPods int
+	// MaxObjectBytes is the maximum cost of the objects that are stored or have yet to be created, as
+	// estimated by store.Cost. 0 means no limit.
+	MaxObjectBytes int64
 
-	// FinishedTTL is the time for which a finished Job without ttlSecondsAfterFinished is kept. 0 keeps the
-	// Job until it is deleted.
+	// FinishedTTL is the time for which a finished Job is kept if the Job does not set
+	// ttlSecondsAfterFinished. If FinishedTTL is 0, such a Job is kept until it is deleted.
 	FinishedTTL placer.Seconds
-	// NodeLossTimeout is the time for which a node must be both absent from the inventory and unresponsive
-	// before its idempotent tasks count as lost.
+	// NodeLossTimeout is the time after which the idempotent tasks of a missing node count as lost. During
+	// all of this time, the node must be absent from the inventory and must not respond.
 	NodeLossTimeout placer.Seconds
 	// MaxStartsPerCall limits the number of tasks that are started in one call. Later calls start the
 	// remaining tasks.
@@ -88,15 +92,16 @@
 	}
 }
 
-// setIfUnset sets a setting that is not positive to the given value.
+// setIfUnset gives a setting the default value unless the setting is positive.
 func setIfUnset[T int | placer.Seconds](setting *T, value T) {
 	if *setting <= 0 {
 		*setting = value
 	}
 }
 
-// classFromLabels returns the index of the task class that the labels of a Pod template name. Without a class
-// label it returns the index of the default class.
+// classFromLabels returns the index of a task class, given the labels of a Pod or of a Pod template. The
+// label wellknown.Class contains the name of the class. Without this label, the result is the index of the
+// default class.
 func (c *Config) classFromLabels(labels map[string]string) (int, *InvalidError) {
 	name, ok := labels[wellknown.Class]
 	if !ok {
@@ -112,7 +117,8 @@
 	}
 }
 
-// tenantOf returns the index of the tenant that owns a namespace, and whether the namespace is accepted.
+// tenantOf returns the index of the tenant that owns a namespace, and whether Jobs may be in this
+// namespace. If no tenant owns the namespace, the index is 0.
 func (c *Config) tenantOf(namespace string) (int, bool) {
 	for i, name := range c.Tenants {
 		if name == namespace {
--- a/internal/kube/engine/effect.go
+++ b/internal/kube/engine/effect.go
@@ -12,15 +12,15 @@
 
 // These are the kinds of effects.
 const (
-	// SendAttempt asks the caller to send Effect.Pod to the node in a POST request, and to report the result
-	// with AttemptDone.
+	// SendAttempt asks the caller to send Effect.Pod to the node in a POST request, and to report the
+	// answer with AttemptDone.
 	SendAttempt EffectKind = iota + 1
 	// AbandonAttempt tells the caller to stop waiting for the answer to an attempt. The caller may still call
 	// AttemptDone for the attempt.
 	AbandonAttempt
-	// StopTask asks the caller to delete the Pod on the node, and to report the result with StopDone. From
-	// then on, the node must reject attempts for the task if their number is at most Effect.Attempt
-	// (fencing).
+	// StopTask asks the caller to delete the Pod on the node, and to report the answer with StopDone. Each
+	// attempt for the task has a number. From then on, the node must reject every attempt for the task
+	// whose number is not greater than Effect.Attempt. These attempts are then fenced.
 	StopTask
 	// WatchNode asks the caller to list and watch the Pods of the node, and to report them with PodsListed,
 	// PodChanged and NodeUnresponsive.
@@ -40,14 +40,14 @@
 	UID       types.UID      // UID of the task's Pod
 	Namespace string         // namespace of the task's Pod
 	Name      string         // name of the task's Pod
-	Attempt   int            // number of the attempt within its task
+	Attempt   int            // number of the attempt within its task; for StopTask, the highest number to reject
 	Deadline  placer.Seconds // time until which the caller waits for the answer to SendAttempt
-	// AvoidUnknownOutcome is set for SendAttempt if the task must not run twice. The caller must then use a
-	// connection on which it can determine whether the node read the request.
+	// AvoidUnknownOutcome is set for SendAttempt if the task must not run twice. The caller must then use
+	// a connection to the node on which it can determine whether the node has read the request.
 	AvoidUnknownOutcome bool
 }
 
-// emit appends an effect to those that the next call of Ready returns.
+// emit adds an effect to the pending effects, which the next call of Ready returns.
 func (env *environment) emit(effect Effect) { env.effects = append(env.effects, effect) }
 
 // Ready appends the pending effects to dst, in the order in which they must be carried out, and returns the
@@ -59,8 +59,8 @@
 	return dst
 }
 
-// emitStopTask emits a StopTask effect. The node must stop the Pod, and must reject each later attempt for
-// the task if the attempt's number is at most the given number.
+// emitStopTask emits a StopTask effect. The node must stop the Pod. It must also reject every later
+// attempt for the task of the Pod whose attempt number is not greater than the given number.
 func (env *environment) emitStopTask(node *node, pod podIdentity, number int) {
 	env.stats.Stops++
 	env.emit(Effect{
--- a/internal/kube/engine/engine.go
+++ b/internal/kube/engine/engine.go
@@ -8,8 +8,8 @@
 // same effects and the same stored objects.
 //
 // Package placer decides on which node a task is placed, and package retry decides when a placement request
-// is retried. The inventory is a server that lists all nodes. Nodes and the inventory are reached through the
-// effects.
+// is retried. The inventory is a server that lists all nodes. The engine reaches the nodes and the inventory
+// only through effects.
 //
 // An attempt is in flight until its node has answered or the engine has abandoned it. If the node may have
 // accepted an abandoned attempt, the outcome of the attempt is unknown and the attempt is unresolved. A task
@@ -91,13 +91,13 @@
 	return e, nil
 }
 
-// Store returns the engine's store, which may be read between calls.
+// Store returns the store of the engine. Callers may read it between calls of the engine.
 func (e *Engine) Store() *store.Store { return e.publisher.store }
 
 // Config returns the configuration with all defaults set.
 func (e *Engine) Config() Config { return e.cfg }
 
-// Admission returns the admission controller, which may be read between calls.
+// Admission returns the admission controller. Callers may read its state between calls of the engine.
 func (e *Engine) Admission() *admission.Controller { return e.requests.admission }
 
 // OpenTasks returns the number of tasks without a final outcome.
@@ -109,7 +109,8 @@
 // Tick runs the timers that are due.
 func (e *Engine) Tick(now placer.Seconds) {
 	e.beginCall(now)
-	// A timer that another timer adds for the same time runs in the next call.
+	// A timer that runs may add another timer that is due at once. The number of timers that one call of
+	// Tick runs is limited, because Tick must end even if this happens again and again.
 	for count := e.timers.Len(); count > 0; count-- {
 		dueTimer := e.timers.Pop(e.now)
 		if dueTimer == nil {
@@ -120,21 +121,22 @@
 	e.endCall()
 }
 
-// Stop makes the engine reject new Jobs. The placer still decides on the placement requests that it has, but
-// these requests are not retried. A task without such a request gets its final outcome at once, or after the
-// wait for an unknown outcome of one of its attempts.
+// Stop makes the engine reject new Jobs. The placer still gives final answers to the placement requests
+// that it has, but the engine does not retry these requests. A task without such a request gets its final
+// outcome at once, unless an attempt of the task has an unknown outcome. In this case the engine first
+// waits for the outcome of the attempt.
 func (e *Engine) Stop(now placer.Seconds) {
 	e.beginCall(now)
 	e.lifecycle.stopAll()
 	e.endCall()
 }
 
-// beginCall sets the time of the call. Every exported method that changes state must call beginCall first and
-// endCall last.
+// beginCall sets the time of a call. Every exported method that changes the state of the engine must call
+// beginCall first and endCall last.
 func (e *Engine) beginCall(now placer.Seconds) { e.advanceClock(now) }
 
-// endCall lets the placer and the admission controller react to the events of the current call, and stores
-// the Job statuses that changed.
+// endCall makes the placer and the admission controller handle the events of the current call, and stores
+// the statuses of Jobs that have changed.
 func (e *Engine) endCall() {
 	e.drainEvents()
 	e.requests.admitQueued()
--- a/internal/kube/engine/engine_test.go
+++ b/internal/kube/engine/engine_test.go
@@ -13,14 +13,14 @@
 	"heathshed/placer"
 )
 
-// TestSlowStartUsesSchedulerClock guards against trusting the clocks of nodes. The scheduler's clock decides
-// when a node started. A restarted node must get a slow start even if its clock is behind, and the slow start
-// must end even if the node's clock is ahead.
+// TestSlowStartUsesSchedulerClock guards against trusting the clocks of nodes. The start time of a node
+// must be taken from the clock of the scheduler. A restarted node must get a slow start even if the clock
+// of the node is behind, and the slow start must end even if the clock of the node is ahead.
 func TestSlowStartUsesSchedulerClock(t *testing.T) {
 	const relistedAt = listedAt + 100
 	for _, test := range []struct {
 		name                    string
-		firstEntry, secondEntry *corev1.Node // the node as the inventory lists it at listedAt and at relistedAt
+		firstEntry, secondEntry *corev1.Node // Node objects that the inventory lists at listedAt and at relistedAt
 		want                    placer.Seconds
 	}{
 		{"node that has not restarted", listedNode("a", 0), listedNode("a", 0), 0},
@@ -34,15 +34,15 @@
 			engine.NodesListed(listedAt, FullList, []*corev1.Node{test.firstEntry}, nil)
 			engine.NodesListed(relistedAt, Changes, []*corev1.Node{test.secondEntry}, nil)
 			if got := engine.nodes.getByName(nodeName).listedStartedAt; got != test.want {
-				t.Errorf("the engine assumes that the node started at time %v, want %v", got, test.want)
+				t.Errorf("the engine has recorded time %v as the start of the node, want %v", got, test.want)
 			}
 		})
 	}
 }
 
-// TestLateListWithEarlierIncarnation guards against a late list that reverts a node to an earlier
-// incarnation. Once the node itself has stated a new incarnation, lists with an earlier one must not replace
-// it.
+// TestLateListWithEarlierIncarnation guards against a list of nodes that arrives late and states an
+// earlier incarnation of a node. Once the node itself has stated a new incarnation, such a list must not
+// change the incarnation back.
 func TestLateListWithEarlierIncarnation(t *testing.T) {
 	engine := newEngine(t)
 	engine.NodesListed(1000, FullList, []*corev1.Node{listedNode("a", 0)}, nil)
@@ -53,14 +53,14 @@
 	engine.nodes.observeIncarnation(engine.nodes.getByName(nodeName), "a")
 
 	if got := engine.nodes.getByName(nodeName).incarnation; got != "b" {
-		t.Errorf("the node has incarnation %q, want \"b\"", got)
+		t.Errorf("the engine has recorded incarnation %q of the node after a late list, want \"b\"", got)
 	}
 }
 
-// TestStopAnsweredByAnotherIncarnation guards against running a task twice after a node restart. If a node
-// answers a stop order without having the task, the answer is valid only for the node's current incarnation.
-// If the attempt was sent to an earlier incarnation, the task may have run there. A task that must not run
-// twice is then not requested again.
+// TestStopAnsweredByAnotherIncarnation guards against running a task twice after a restart of its node. If
+// a node answers a stop order and does not have the task, the answer holds only for the present
+// incarnation of the node. If an earlier incarnation received the attempt, it may have run the task. The
+// engine must then not make another attempt for a task that must not run twice.
 func TestStopAnsweredByAnotherIncarnation(t *testing.T) {
 	const endTime = createdAt + 59
 	for _, test := range []struct {
@@ -68,8 +68,8 @@
 		incarnation string // incarnation of the node that answers the stop order
 		wantRetry   bool
 	}{
-		{"answer of the incarnation that got the attempt", "a", true},
-		{"answer of another incarnation", "b", false},
+		{"stop order is answered by the incarnation that received the attempt", "a", true},
+		{"stop order is answered by another incarnation of the node", "b", false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			engine := newEngine(t, func(config *Config) {
@@ -101,14 +101,14 @@
 			}
 
 			if (attempts > 1) != test.wantRetry {
-				t.Errorf("the engine made %d attempts; it must make a second one only if the incarnation that got the first attempt answers the stop order", attempts)
+				t.Errorf("the engine made %d attempts for the task; it must make a second attempt if and only if the incarnation that received the first one answers the stop order", attempts)
 			}
 		})
 	}
 }
 
-// TestFinishedJobsAreEvictedForNewOnes checks that a finished Job is removed to make room for a new Job, but
-// not before clients had time to read the outcome of the finished Job.
+// TestFinishedJobsAreEvictedForNewOnes checks that the engine removes a finished Job to make room for a
+// new Job. The engine must not remove the finished Job before clients have had time to read its outcome.
 func TestFinishedJobsAreEvictedForNewOnes(t *testing.T) {
 	engine := newEngine(t, func(config *Config) { config.MaxPods, config.MaxObjectBytes = 100, 1<<30 })
 	createJob := func(now placer.Seconds, name string) error {
@@ -126,26 +126,27 @@
 		t.Fatal(err)
 	}
 	if err := createJob(now, "b"); !errors.Is(err, ErrTooMany) {
-		t.Fatalf("creating a Job that exceeds MaxPods returned %v, want ErrTooMany", err)
+		t.Fatalf("CreateJob returned error %v for a Job that exceeds MaxPods, want ErrTooMany", err)
 	}
-	// All tasks are rejected at their deadlines because there is no node.
+	// All tasks get the outcome Rejected at their deadlines, because there is no node.
 	for ; engine.OpenTasks() > 0 && now < 1100; now++ {
 		engine.Tick(now)
 	}
 
 	if err := createJob(now, "b"); !errors.Is(err, ErrTooMany) {
-		t.Fatalf("CreateJob returned %v although the only finished Job has just finished, want ErrTooMany", err)
+		t.Fatalf("CreateJob returned error %v when the only finished Job had just finished, want ErrTooMany", err)
 	}
 	if err := createJob(now+31, "b"); err != nil {
-		t.Fatalf("CreateJob returned %v although a Job that finished 31 s ago can be evicted", err)
+		t.Fatalf("CreateJob returned error %v when a Job that had finished 31 s before could be evicted, want no error", err)
 	}
 	if engine.Store().Get(store.Jobs, defaultNamespace, "a") != nil {
-		t.Error("the evicted Job is still stored")
+		t.Error("the finished Job is still stored after a new Job has taken its place")
 	}
 }
 
-// TestJobThatNeverFitsIsInvalid checks the error for a Job that alone exceeds MaxObjectBytes. The error must
-// be an *InvalidError and not ErrTooMany, because the Job would not fit later either.
+// TestJobThatNeverFitsIsInvalid checks the error for a Job that exceeds MaxObjectBytes even if no other
+// objects are stored. The error must be an *InvalidError and not ErrTooMany, because the Job would not fit
+// later either.
 func TestJobThatNeverFitsIsInvalid(t *testing.T) {
 	engine := newEngine(t, func(config *Config) { config.MaxPods, config.MaxObjectBytes = 100, 1<<30 })
 	bigJob := newJob("big", 100)
@@ -155,13 +156,13 @@
 
 	var invalid *InvalidError
 	if !errors.As(err, &invalid) {
-		t.Errorf("creating a Job whose Pods alone exceed MaxObjectBytes returned %v, want an *InvalidError", err)
+		t.Errorf("CreateJob returned error %v for a Job whose Pods alone exceed MaxObjectBytes, want an *InvalidError", err)
 	}
 }
 
-// TestStopWhileTaskAwaitsRerun guards against attempts after Engine.Stop. A timer starts a completion index
-// again after its task ended without success. If the engine is stopped before this timer fires, the new Pod
-// must get its final outcome without any attempt.
+// TestStopWhileTaskAwaitsRerun guards against attempts after Engine.Stop. If a task ends without success,
+// a timer starts its completion index again and thereby creates a new Pod. If the engine is stopped before
+// this timer fires, the new Pod must get its final outcome without any attempt.
 func TestStopWhileTaskAwaitsRerun(t *testing.T) {
 	engine := newEngine(t)
 	createJobOnOneNode(t, engine, 1)
@@ -190,7 +191,7 @@
 	failedPod.Status.Phase = corev1.PodFailed
 	engine.PodChanged(now, nodeName, failedPod, false)
 	if openTasks := engine.OpenTasks(); openTasks != 0 {
-		t.Fatalf("%d tasks have no final outcome after the only task has ended, want 0", openTasks)
+		t.Fatalf("%d tasks have no final outcome after the only task of the Job has ended, want 0", openTasks)
 	}
 
 	engine.Stop(now)
@@ -198,7 +199,7 @@
 	now = tickUntil(engine, now, 1100, func() bool { return engine.Stats.PodsCreated != podsCreated })
 
 	if engine.Stats.PodsCreated != podsCreated+1 {
-		t.Fatal("the engine did not create exactly one new Pod after the task had failed")
+		t.Fatal("the engine must create exactly one new Pod after the task has failed")
 	}
 	engine.Tick(now + 10)
 	if retries := takeAttempts(engine); len(retries) > 0 {
@@ -209,9 +210,9 @@
 	}
 }
 
-// TestNodeWithoutAnnotationsChanges guards against losing a change of a Node that has no annotations. The
-// engine delays changes of the free capacity, which is an annotation. It must not treat other changes of such
-// a Node as changes of the free capacity.
+// TestNodeWithoutAnnotationsChanges guards against losing changes of a Node that has no annotations. The
+// engine stores a change of the free capacity, which is an annotation, only after a delay. It must not
+// delay other changes of a Node without annotations.
 func TestNodeWithoutAnnotationsChanges(t *testing.T) {
 	engine := newEngine(t)
 	firstNode := listedNode("a", 0)
@@ -228,9 +229,9 @@
 	}
 }
 
-// TestStopWhileRetryWithUnknownOutcomeIsQueued guards against tasks that never get a final outcome. A
-// placement request may wait for admission while the outcome of an earlier attempt for the same task is
-// unknown. If the engine is stopped in this state, the task must still get its final outcome.
+// TestStopWhileRetryWithUnknownOutcomeIsQueued guards against tasks that never get a final outcome. While
+// a placement request of a task waits for admission, the outcome of an earlier attempt for the task may be
+// unknown. If the engine is stopped in this situation, the task must still get its final outcome.
 func TestStopWhileRetryWithUnknownOutcomeIsQueued(t *testing.T) {
 	engine := newEngine(t, func(config *Config) {
 		config.Admission = admission.DefaultConfig()
@@ -243,7 +244,7 @@
 	// The node answers neither attempts nor stop orders.
 	now := tickUntil(engine, createdAt, 1030, func() bool { return hasQueuedRetryWithUnknownOutcome(engine) })
 	if !hasQueuedRetryWithUnknownOutcome(engine) {
-		t.Fatal("the engine queued no retry for a task that has an attempt with an unknown outcome")
+		t.Fatal("the admission controller queued no retry of a task that has an attempt with an unknown outcome")
 	}
 
 	engine.Stop(now)
@@ -257,8 +258,8 @@
 	}
 }
 
-// hasQueuedRetryWithUnknownOutcome reports whether any task waits for admission while the outcome of one of
-// its attempts is unknown.
+// hasQueuedRetryWithUnknownOutcome reports whether the placement request of any task waits for admission
+// while the outcome of an attempt for the task is unknown.
 func hasQueuedRetryWithUnknownOutcome(engine *Engine) bool {
 	for _, task := range engine.tasks.tasksInCreationOrder() {
 		if task.state == taskQueued && task.attempts.hasUnknownOutcome() {
@@ -268,8 +269,8 @@
 	return false
 }
 
-// TestNodeWithoutLabelsGetsZone checks that the stored Node has the zone that the inventory states, even if
-// an API update has removed all labels of the Node before.
+// TestNodeWithoutLabelsGetsZone checks that the stored Node has the zone that the inventory states, even
+// if an API client has removed all labels of the Node before.
 func TestNodeWithoutLabelsGetsZone(t *testing.T) {
 	engine := newEngine(t)
 	nodeWithoutZone := listedNode("a", 0)
--- a/internal/kube/engine/environment.go
+++ b/internal/kube/engine/environment.go
@@ -41,7 +41,7 @@
 // nothing if it is called while an action is being executed.
 func (env *environment) drainEvents() { env.events.Run(env.now) }
 
-// timer is a function that a later call of Tick runs.
+// A timer is a function that a later call of Tick runs at a given time.
 type timer = timerqueue.Timer[placer.Seconds]
 
 // runAt schedules a function for the first call of Tick at or after the given time.
@@ -57,8 +57,8 @@
 // stopTimer cancels a timer. A nil timer, or one that has already run, is ignored.
 func (env *environment) stopTimer(timer *timer) { env.timers.Stop(timer) }
 
-// idempotencyOf returns the idempotency of the class of a task, which determines whether the task may run
-// twice.
+// idempotencyOf returns the idempotency of a task's class. The idempotency determines whether the task may
+// run twice.
 func (env *environment) idempotencyOf(task *task) placer.Idempotency {
 	return env.cfg.Placer.Classes[task.class].Idempotency
 }
@@ -70,13 +70,15 @@
 		0x8000|uint16(secondBits)&0x3fff, secondBits>>16))
 }
 
-// Random suffixes of object names have this alphabet and this length in characters.
+// The random suffixes of object names consist of characters of nameSuffixAlphabet. Their length in
+// characters is nameSuffixLength.
 const (
 	nameSuffixAlphabet = "bcdfghjklmnpqrstvwxz2456789"
 	nameSuffixLength   = 5
 )
 
-// randomNameSuffix generates the random end of an object name, in the format that the Kubernetes API uses.
+// randomNameSuffix generates a random suffix for an object name, in the format that the Kubernetes API
+// uses.
 func (env *environment) randomNameSuffix() string {
 	suffix := make([]byte, nameSuffixLength)
 	for i := range suffix {
--- a/internal/kube/engine/errors.go
+++ b/internal/kube/engine/errors.go
@@ -8,8 +8,8 @@
 	"k8s.io/apimachinery/pkg/types"
 )
 
-// These errors are returned by methods of Engine. The API server translates them into statuses, whose
-// messages are the error texts.
+// Methods of Engine return these errors. The API server translates each error into a Status object whose
+// message is the text of the error.
 var (
 	// ErrNotFound means that the object does not exist.
 	ErrNotFound = errors.New("not found")
@@ -21,11 +21,11 @@
 	// ErrTooMany means that a new Job would exceed the limit on stored objects. The client may create the Job
 	// later, when fewer objects are stored.
 	ErrTooMany = errors.New("too many tasks are stored; try again later")
-	// ErrStopping means that Engine.Stop was called.
+	// ErrStopping means that Engine.Stop was called and that the engine accepts no new Jobs.
 	ErrStopping = errors.New("the scheduler stops and takes no new tasks")
 )
 
-// InvalidError says that an object can never be accepted. Field is the path of the first invalid field.
+// InvalidError states why an object can never be accepted. Field is the path of the first invalid field.
 type InvalidError struct {
 	Field, Detail string
 	Value         any
@@ -34,7 +34,7 @@
 func (e *InvalidError) Error() string { return fmt.Sprintf("%s: %v: %s", e.Field, e.Value, e.Detail) }
 
 // checkPreconditions returns ErrConflict if an object does not have the required UID or resource version.
-// Empty requirements are not checked.
+// An empty UID or resource version is not required.
 func checkPreconditions(object metav1.Object, uid types.UID, resourceVersion string) error {
 	if uid != "" && uid != object.GetUID() {
 		return ErrConflict
--- a/internal/kube/engine/fixture_test.go
+++ b/internal/kube/engine/fixture_test.go
@@ -10,7 +10,8 @@
 	"heathshed/placer"
 )
 
-// The tests in this package use one node, one Job, one task class and one node type with these names.
+// The tests in this package use one node, one Job, one task class and one node type. These are their
+// names.
 const (
 	nodeName     = "n"
 	jobName      = "j"
@@ -24,7 +25,8 @@
 	createdAt placer.Seconds = 1001
 )
 
-// testConfig returns the settings of an engine with one class, whose tasks are idempotent, and one node type.
+// testConfig returns the settings of an engine with one task class and one node type. The tasks of the
+// class are idempotent.
 func testConfig() Config {
 	return Config{
 		Name:      "s",
@@ -42,7 +44,8 @@
 	}
 }
 
-// newEngine returns an engine with the settings of testConfig, modified by the given functions.
+// newEngine returns an engine with the settings of testConfig. The functions in changes modify these
+// settings first.
 func newEngine(t *testing.T, changes ...func(config *Config)) *Engine {
 	t.Helper()
 	config := testConfig()
@@ -56,8 +59,8 @@
 	return engine
 }
 
-// listedNode returns a ready Node as the inventory lists it. The Node states the time at which the node
-// started, unless startedAt is 0.
+// listedNode returns the Node object by which the inventory describes a ready node. If startedAt is not 0,
+// the Node object states it as the start time of the node.
 func listedNode(incarnation string, startedAt placer.Seconds) *corev1.Node {
 	node := &corev1.Node{}
 	node.Name = nodeName
@@ -96,7 +99,7 @@
 	}
 }
 
-// takeAttempts takes the pending effects and returns those that send an attempt.
+// takeAttempts takes all pending effects of the engine and returns the SendAttempt effects among them.
 func takeAttempts(engine *Engine) []Effect {
 	var attempts []Effect
 	for _, effect := range engine.Ready(nil) {
@@ -107,8 +110,8 @@
 	return attempts
 }
 
-// tickUntil runs the engine's timers until a condition holds or the end time is reached. It returns the time
-// of the last call.
+// tickUntil runs the timers of the engine until a condition holds or the end time is reached. It returns
+// the time of the last call of Tick.
 func tickUntil(engine *Engine, from, end placer.Seconds, condition func() bool) placer.Seconds {
 	now := from
 	for now < end && !condition() {
--- a/internal/kube/engine/job.go
+++ b/internal/kube/engine/job.go
@@ -10,15 +10,15 @@
 	"heathshed/placer"
 )
 
-// job is the state of a Job and of its completion indexes, each of which has at most one task at a time. The
-// types that create, start, update and delete Jobs modify a job through its methods.
+// job is the state of a Job and of its completion indexes. Each completion index has at most one task at a
+// time. The components that create, start, update and delete Jobs modify the state.
 type job struct {
 	placementSpec         // properties that all tasks of the Job share
 	key            string // key of the Job, as returned by store.Key
 	uid            types.UID
-	object         *batchv1.Job // the stored object, which must not be modified
-	podCost        int64        // cost of one Pod in bytes, as estimated by store.Cost
-	cachedManifest string       // result of the method manifest; "" if it has not been computed yet
+	object         *batchv1.Job // the stored Job object, which must not be modified
+	podCost        int64        // estimated cost of one Pod in bytes, as returned by store.Cost
+	cachedManifest string       // result of the method manifest; "" if the method has not computed it yet
 
 	indexes completionIndexTable
 	pods    map[string]struct{} // names of the stored Pods of the Job
@@ -28,11 +28,11 @@
 
 	transitions    *transitionCheck
 	progress       jobProgress
-	failureReason  string // why the Job fails as a whole; "" if it does not
+	failureReason  string // reason why the Job fails as a whole; "" if the Job does not fail as a whole
 	failureMessage string
 	finishedAt     placer.Seconds
 	deletion       jobDeletion
-	suspended      bool // spec.suspend as last applied; an update cannot suspend a finished Job
+	suspended      bool // the value of spec.suspend that is in effect; an update cannot suspend a finished Job
 
 	deadlineTimer *timer // fires when activeDeadlineSeconds have passed
 	ttlTimer      *timer // fires when ttlSecondsAfterFinished have passed
@@ -63,9 +63,9 @@
 // cost returns the cost of the Job and all of its Pods in bytes, as estimated by store.Cost.
 func (j *job) cost() int64 { return j.podCost * int64(1+j.indexes.len()) }
 
-// manifest returns the Job as JSON. Nodes store this text with each Pod of the Job, and a restarted scheduler
-// rebuilds the Job from it. The result is "" if the Job cannot be encoded; the tasks of such a Job are
-// adopted without it.
+// manifest returns the Job as JSON. Nodes store this text with each Pod of the Job, and a restarted
+// scheduler rebuilds the Job from the text. The result is "" if the Job cannot be encoded. A restarted
+// scheduler then adopts the tasks of the Job without the Job.
 func (j *job) manifest() string {
 	if j.cachedManifest != "" {
 		return j.cachedManifest
@@ -88,8 +88,8 @@
 	return j.cachedManifest
 }
 
-// updateObject replaces the stored Job after a change of its status or its deletion timestamp. The manifest
-// contains neither, so the cached manifest remains valid.
+// updateObject replaces the stored Job after a change of its status or its deletion timestamp. The cached
+// manifest remains valid because it contains neither of them.
 func (j *job) updateObject(object *batchv1.Job) { j.object = object }
 
 // updateSpec replaces the stored Job after an update of its metadata or spec, and clears the cached manifest.
@@ -112,7 +112,7 @@
 	j.failureMessage = message
 }
 
-// finish records the end of a Job that has no tasks left and will start no more.
+// finish records the end of a Job that has no active tasks and will not start any more tasks.
 func (j *job) finish(now placer.Seconds) {
 	j.setProgress(j.progress.afterLastTask())
 	j.finishedAt = now
--- a/internal/kube/engine/job_controller.go
+++ b/internal/kube/engine/job_controller.go
@@ -7,8 +7,8 @@
 	"heathshed/placer"
 )
 
-// jobController creates, updates, finishes and deletes Jobs. It also records in a Job the final outcomes and
-// the ends of the Job's tasks.
+// jobController creates, updates, finishes and deletes Jobs. For each task of a Job, it records in the Job
+// the final outcome of the task and the end of the task.
 type jobController struct {
 	*environment
 	jobs          *jobTable
@@ -20,8 +20,8 @@
 	publisher     *publisher
 }
 
-// recordOutcome counts the final outcome of a task if it is the first final outcome of the task's completion
-// index.
+// recordOutcome counts the final outcome of a task in its Job, if it is the first final outcome for the
+// completion index of the task.
 func (c *jobController) recordOutcome(task *task, outcome taskOutcome) {
 	job := task.job
 	if task.stopReason == stopSuspended || job.indexes.at(task.index).task != task {
@@ -32,8 +32,8 @@
 	}
 }
 
-// recordTaskEnd counts the end of a task, and schedules a new start of its completion index if the Job
-// permits it.
+// recordTaskEnd counts the end of a task in its Job, and schedules a new start of the completion index of
+// the task if the Job permits it.
 func (c *jobController) recordTaskEnd(task *task, succeeded bool, cause retry.Cause) {
 	job := task.job
 	if job.indexes.at(task.index).task != task {
@@ -80,7 +80,7 @@
 	})
 }
 
-// finish records the end of a Job that has no tasks left and will start no more.
+// finish records the end of a Job that has no active tasks and will not start any more tasks.
 func (c *jobController) finish(job *job) {
 	job.finish(c.now)
 	c.stats.JobsFinished++
--- a/internal/kube/engine/job_create.go
+++ b/internal/kube/engine/job_create.go
@@ -11,8 +11,8 @@
 	"heathshed/placer"
 )
 
-// newJob returns the state of a Job that has not started any tasks. If the Job is invalid, the error is an
-// *InvalidError.
+// newJob returns the state of a Job for which no tasks have been started. If the Job is invalid, the error
+// is an *InvalidError.
 func (c *jobController) newJob(object *batchv1.Job) (*job, error) {
 	labels := object.Spec.Template.Labels
 	class, invalidErr := c.cfg.classFromLabels(labels)
@@ -62,7 +62,7 @@
 	newJob.podCost = store.Cost(object)
 	if cost := newJob.cost(); c.cfg.MaxObjectBytes > 0 && cost > c.cfg.MaxObjectBytes {
 		tasks := newJob.indexes.len()
-		detail := fmt.Sprintf("%d tasks of this size take %d bytes: at most %d", tasks, cost, c.cfg.MaxObjectBytes)
+		detail := fmt.Sprintf("%d tasks of this size take %d bytes, but the limit is %d bytes", tasks, cost, c.cfg.MaxObjectBytes)
 		return nil, &InvalidError{Field: "spec.template", Detail: detail, Value: tasks}
 	}
 	for c.exceedsLimits(newJob) {
@@ -81,10 +81,10 @@
 	return c.publisher.storedJob(object.Namespace, object.Name), nil
 }
 
-// These constants limit the generation of object names.
+// These constants limit how the engine generates the names of Jobs.
 const (
 	maxGenerateNameLength = 248 // maximum number of characters of generateName that are used
-	maxNameTries          = 8   // maximum number of names that are tried; the Kubernetes API server uses the same number
+	maxNameTries          = 8   // maximum number of names tried for one Job; the Kubernetes API server uses the same number
 )
 
 // generateName chooses a name for a Job that has only a generateName.
@@ -100,8 +100,8 @@
 	}
 }
 
-// initialize sets the fields that the registry of a Kubernetes API server sets in a new Job: its identity,
-// status and selector, and the labels of its Pods.
+// initialize sets the fields that a Kubernetes API server sets when it stores a new Job: the UID, the
+// creation time, the generation, the status, the selector and the labels of the Pods.
 func (c *jobController) initialize(object *batchv1.Job) {
 	object.UID = c.newUID()
 	object.CreationTimestamp = c.apiNow()
@@ -117,12 +117,12 @@
 	labels := object.Spec.Template.Labels
 	labels[wellknown.JobUID] = uid
 	labels[wellknown.JobName] = object.Name
-	labels["controller-uid"] = uid   // label in the format of older Kubernetes versions
-	labels["job-name"] = object.Name // label in the format of older Kubernetes versions
+	labels["controller-uid"] = uid   // key of this label in older Kubernetes versions
+	labels["job-name"] = object.Name // key of this label in older Kubernetes versions
 }
 
-// exceedsLimits reports whether a new Job would exceed MaxPods or MaxObjectBytes, counting both the stored
-// objects and the Pods that are still to be created.
+// exceedsLimits reports whether a new Job would exceed MaxPods or MaxObjectBytes. It counts the stored
+// objects, and the Pods of other Jobs that have yet to be created.
 func (c *jobController) exceedsLimits(newJob *job) bool {
 	pods, bytes := c.jobStarter.pendingPods()
 	if c.publisher.podCount()+pods+newJob.indexes.len() > c.cfg.MaxPods {
@@ -135,8 +135,9 @@
 // the outcome of the Job.
 const minFinishedRetention placer.Seconds = 30
 
-// evictFinished removes the Job that finished first, unless it finished too recently. It reports whether it
-// removed a Job. A dry run removes nothing.
+// evictFinished removes the Job that finished first in order to make room for a new Job. It does not
+// remove the Job if less than minFinishedRetention has passed since its end. evictFinished reports whether
+// it removed a Job. A dry run removes nothing.
 func (c *jobController) evictFinished(dryRun bool) bool {
 	oldestJob := c.jobs.oldestFinished()
 	if oldestJob == nil || dryRun || c.now-oldestJob.finishedAt < minFinishedRetention {
--- a/internal/kube/engine/job_delete.go
+++ b/internal/kube/engine/job_delete.go
@@ -80,8 +80,8 @@
 	}
 }
 
-// startForegroundDeletion marks the stored Job as being deleted. The Job is removed once its last Pod has
-// been removed.
+// startForegroundDeletion marks the stored Job as being deleted. The Job stays in the store until its last
+// Pod has been removed.
 func (c *jobController) startForegroundDeletion(job *job) {
 	job.setDeletion(jobDeletingForeground)
 	updatedObject := job.object.DeepCopy()
@@ -92,8 +92,8 @@
 	job.updateObject(updatedObject)
 }
 
-// finishForegroundDeletion removes a Job that is being deleted in the foreground if its last Pod has been
-// removed.
+// finishForegroundDeletion removes a Job from the store if the Job is being deleted in the foreground and
+// its last Pod has been removed.
 func (c *jobController) finishForegroundDeletion(job *job) {
 	if job.deletion == jobDeletingForeground && len(job.pods) == 0 {
 		job.setDeletion(jobDeleted)
--- a/internal/kube/engine/job_indexes.go
+++ b/internal/kube/engine/job_indexes.go
@@ -8,12 +8,12 @@
 type indexState uint8
 
 const (
-	// indexPending means that the index waits for its start.
+	// indexPending means that the index has no task yet and waits until jobStarter starts one.
 	indexPending indexState = iota
 	// indexActive means that the index has a task.
 	indexActive
-	// indexRetrying means that the task of the index has ended and that the index is not finished. Another
-	// task is started later unless the Job stops.
+	// indexRetrying means that the task of the index has ended and that the index is not finished. The
+	// index gets another task later unless the Job stops.
 	indexRetrying
 	// indexFinished means that the index has succeeded or will not be started again.
 	indexFinished
@@ -25,8 +25,8 @@
 
 func (s indexState) String() string { return indexStateNames[s] }
 
-// indexTransitions lists the states that may follow each state. A finished index becomes active again if a
-// running duplicate of its task is adopted.
+// indexTransitions lists, for each state, the states that may follow it. A finished index becomes active
+// again if the engine adopts a task of the index that still runs on a node.
 var indexTransitions = transitionTable[indexState]{
 	indexPending:  {indexPending, indexActive, indexFinished},
 	indexActive:   {indexRetrying},
@@ -37,10 +37,10 @@
 // completionIndex is the state of one completion index of a Job.
 type completionIndex struct {
 	state       indexState
-	task        *task  // present task of the index; nil unless the index is active
+	task        *task  // the task that the index has at present; nil unless the index is active
 	settled     bool   // set once the final outcome of the index's first task has been counted
-	retryBudget int    // number of retries that the next task may use
-	retryTimer  *timer // fires when the index is started again
+	retryBudget int    // number of retries that the next task of the index may use
+	retryTimer  *timer // fires when the index must be started again
 }
 
 // completionIndexTable holds the completion indexes of a Job and counts them by state. Only its methods
@@ -50,13 +50,13 @@
 	transitions *transitionCheck
 
 	entries        []completionIndex
-	nextUnstarted  int // lowest index that takeNext has not returned yet
+	nextUnstarted  int // the index that takeNext considers next
 	activeIndexes  int // number of indexes that have a task
 	succeededTasks int // number of tasks that succeeded
 	failedTasks    int // number of tasks that ended without success
 	failedIndexes  int // number of indexes that have failed and will not be started again
 
-	outcomeCounts      map[taskOutcome]int // numbers of indexes by the final outcome of their first task
+	outcomeCounts      map[taskOutcome]int // number of indexes for each final outcome of the first task of an index
 	unplacedMayHaveRun bool                // set if a task that was not placed may have run
 }
 
@@ -80,11 +80,11 @@
 	return t.succeededTasks+t.failedIndexes >= len(t.entries)
 }
 
-// unstarted returns the number of completion indexes that takeNext has yet to return.
+// unstarted returns the number of completion indexes that takeNext has yet to consider.
 func (t *completionIndexTable) unstarted() int { return len(t.entries) - t.nextUnstarted }
 
-// takeNext returns the next completion index to consider for a start. ok is false if no index is left, or if
-// the number of active indexes has reached the parallelism of the Job.
+// takeNext returns the completion index that is next in line for a start. ok is false if no index is left,
+// or if the number of active indexes has reached the parallelism of the Job.
 func (t *completionIndexTable) takeNext(parallelism int) (index int, ok bool) {
 	if t.unstarted() <= 0 || t.activeIndexes >= parallelism {
 		return 0, false
@@ -93,7 +93,7 @@
 	return t.nextUnstarted - 1, true
 }
 
-// preventStarts keeps each completion index from being started until restart is called for it.
+// preventStarts ensures that no completion index is started until restart is called for it.
 func (t *completionIndexTable) preventStarts() { t.nextUnstarted = len(t.entries) }
 
 // start assigns a new task to a completion index.
@@ -118,8 +118,8 @@
 	t.activeIndexes++
 }
 
-// countOutcome counts a final outcome if it is the first one of the completion index. It reports whether it
-// has counted the outcome.
+// countOutcome counts a final outcome for a completion index if it is the first final outcome of the
+// index. It reports whether it has counted the outcome.
 func (t *completionIndexTable) countOutcome(i int, outcome taskOutcome) bool {
 	index := &t.entries[i]
 	if index.settled {
@@ -130,8 +130,8 @@
 	return true
 }
 
-// countTaskOutcome counts the final outcome of a task if it is the first one of the task's completion index.
-// It reports whether it has counted the outcome.
+// countTaskOutcome counts the final outcome of a task if it is the first final outcome of the task's
+// completion index. It reports whether it has counted the outcome.
 func (t *completionIndexTable) countTaskOutcome(task *task, outcome taskOutcome) bool {
 	if !t.countOutcome(task.index, outcome) {
 		return false
@@ -140,8 +140,8 @@
 	return true
 }
 
-// end records that the task of a completion index has ended. Unless the Job is deleted, the caller then calls
-// succeed, fail or restart.
+// end records that the task of a completion index has ended. Unless the Job is deleted, the caller must
+// then call succeed, fail or restart for the index.
 func (t *completionIndexTable) end(i int) {
 	t.entries[i].task = nil
 	t.setState(i, indexRetrying)
@@ -154,8 +154,8 @@
 	t.setState(i, indexFinished)
 }
 
-// fail counts a task that ended without success. It finishes the completion index unless the index will be
-// started again.
+// fail counts a task that ended without success. If the index will not be started again, fail also
+// finishes the index.
 func (t *completionIndexTable) fail(i int, willRerun bool) {
 	t.failedTasks++
 	if !willRerun {
@@ -164,8 +164,8 @@
 	}
 }
 
-// failUnreported fails a completion index of a rebuilt Job if no node has reported a task of the index. Such
-// a task may have run.
+// failUnreported fails a completion index of a rebuilt Job for which no node has reported a task. The
+// index may have had a task before the restart of the scheduler, and this task may have run.
 func (t *completionIndexTable) failUnreported(i int) {
 	t.fail(i, false)
 	if t.countOutcome(i, outcomeFailed) {
@@ -173,8 +173,8 @@
 	}
 }
 
-// restart makes a completion index pending again. The index is started when jobStarter takes the Job from its
-// backlog the next time.
+// restart makes a completion index pending again. The next time when jobStarter takes the Job from its
+// backlog, it may start the index.
 func (t *completionIndexTable) restart(i int) {
 	t.setState(i, indexPending)
 	t.nextUnstarted = min(t.nextUnstarted, i)
@@ -186,31 +186,31 @@
 	t.entries[i].retryTimer = retryTimer
 }
 
-// setState is the only function that changes the state of a completion index. It also carries out an illegal
-// transition, which CheckInvariants reports.
+// setState is the only function that changes the state of a completion index. It makes the transition even
+// if the transition is illegal; CheckInvariants then reports an error.
 func (t *completionIndexTable) setState(i int, next indexState) {
 	index := &t.entries[i]
 	if !indexTransitions.permits(index.state, next) {
-		t.transitions.recordIllegal("index %d of Job %s made an illegal transition from %s to %s", i, t.jobKey, index.state, next)
+		t.transitions.recordIllegal("completion index %d of Job %s made an illegal transition from %s to %s", i, t.jobKey, index.state, next)
 	}
 	index.state = next
 }
 
-// invariantViolation describes the first contradiction between a Job's completion indexes and their tasks. It
-// returns "" if there is none.
+// invariantViolation describes the first contradiction between the completion indexes of a Job and their
+// tasks. It returns "" if there is no contradiction.
 func (t *completionIndexTable) invariantViolation(job *job) string {
 	activeCount := 0
 	for i := range t.entries {
 		index := &t.entries[i]
 		if (index.task != nil) != (index.state == indexActive) {
-			return fmt.Sprintf("invariant violated: index %d must have a task if and only if it is active", i)
+			return fmt.Sprintf("invariant violated: completion index %d must have a task if and only if it is active", i)
 		}
 		if index.task == nil {
 			continue
 		}
 		activeCount++
 		if index.task.job != job || index.task.index != i {
-			return fmt.Sprintf("invariant violated: the task of index %d must refer to the Job and the index to which it belongs", i)
+			return fmt.Sprintf("invariant violated: the task of completion index %d must refer to this index and to its Job", i)
 		}
 	}
 	if activeCount != t.activeIndexes {
--- a/internal/kube/engine/job_rerun.go
+++ b/internal/kube/engine/job_rerun.go
@@ -5,13 +5,13 @@
 	"heathshed/placer"
 )
 
-// rerunWindow is the time limit that package retry gets for starting a new task of a completion index after
-// the previous task has ended. The client's deadline does not apply because the first task had its final
-// outcome.
+// rerunWindow is the time that package retry may use for a new start of a completion index, counted from
+// the end of the previous task. The deadline of the client does not limit this time, because the client
+// has already received the final outcome of the first task.
 const rerunWindow placer.Seconds = 3600
 
-// scheduleRerun sets a timer that starts a completion index again after its task ended without success. It
-// returns false if the index will not be started again.
+// scheduleRerun sets a timer for a new start of a completion index whose task has ended without success.
+// It returns false if the index will not be started again.
 func (s *jobStarter) scheduleRerun(job *job, task *task, cause retry.Cause) bool {
 	idempotency := s.cfg.Placer.Classes[job.class].Idempotency
 	if !s.mayRerun(job, task, cause, idempotency) {
@@ -19,7 +19,7 @@
 	}
 	budget := task.retryBudget
 	if cause == retry.Migrated || task.isStopping() {
-		budget = max(budget, 1) // a stop ordered by this scheduler does not use up the retry budget
+		budget = max(budget, 1) // the retry budget is not used up if this scheduler itself has stopped the task
 	}
 	// The task has certainly ended, so the retry policy only has to choose the time of the next start.
 	decision, at := s.cfg.Retry.Next(retry.State{
@@ -60,7 +60,7 @@
 		return false // the placement requests of the task have already been retried as often as permitted
 	case idempotency == placer.NonIdempotent:
 		// The index may be started again only if the task has not run to its end and no other attempt may
-		// have run it.
+		// have run the task.
 		return cause != retry.Failed && task.attempts.evidence != possiblyRan
 	}
 	return true
--- a/internal/kube/engine/job_start.go
+++ b/internal/kube/engine/job_start.go
@@ -12,8 +12,8 @@
 	"heathshed/placer"
 )
 
-// jobStarter starts the tasks of Jobs in round-robin order. After a task has ended without success, it also
-// starts the completion index of this task again.
+// jobStarter starts the tasks of Jobs in round-robin order. If a task ends without success, jobStarter
+// also starts the completion index of the task again.
 type jobStarter struct {
 	*environment
 	jobController *jobController
@@ -24,7 +24,7 @@
 	publisher     *publisher
 
 	backlog        []*job // Jobs that have tasks to start
-	startScheduled bool   // set while the timer that starts tasks of the backlog is pending
+	startScheduled bool   // set while the timer that starts tasks of the Jobs in the backlog is pending
 }
 
 // start sets the timer for activeDeadlineSeconds of a new or resumed Job, and adds the Job to the backlog.
@@ -48,7 +48,7 @@
 	s.scheduleStarts()
 }
 
-// scheduleStarts sets a timer, due immediately, that starts tasks of the backlog.
+// scheduleStarts sets a timer that starts tasks of the Jobs in the backlog. The timer is due at once.
 func (s *jobStarter) scheduleStarts() {
 	if len(s.backlog) > 0 && !s.startScheduled {
 		s.startScheduled = true
@@ -80,8 +80,8 @@
 	s.scheduleStarts()
 }
 
-// startRound starts the next pending completion indexes of a Job, up to a limit, and returns the number of
-// tasks started.
+// startRound starts the next pending completion indexes of a Job. It starts at most the given number of
+// tasks, and returns the number of tasks that it has started.
 func (s *jobStarter) startRound(job *job, limit int) int {
 	parallelism := job.parallelism()
 	startedCount := 0
@@ -101,7 +101,8 @@
 	return startedCount
 }
 
-// startTask creates the Pod for a completion index of a Job, and requests its placement.
+// startTask creates a task for a completion index of a Job, stores the Pod of the task, and requests the
+// placement of the task.
 func (s *jobStarter) startTask(job *job, index int) {
 	newTask := s.newTask(job, index)
 	job.indexes.start(index, newTask)
@@ -110,8 +111,8 @@
 	s.tasks.add(newTask)
 	s.publisher.putPod(pod)
 	if s.stopping {
-		// After Engine.Stop no placement is requested: the placer would handle the request and start an
-		// attempt before it could handle a withdrawal.
+		// After Engine.Stop, the engine requests no placement for a new task. The placer would handle the
+		// request and start an attempt before the engine could withdraw the request.
 		s.tasks.setState(newTask, taskWaiting)
 		s.lifecycle.settleUnplaced(newTask, outcomeRejected, stoppingMessage)
 	} else {
@@ -120,8 +121,8 @@
 	s.jobStatus.markDirty(job)
 }
 
-// maxJobNameLengthInPodName is the maximum number of characters of a Job's name that the names of its Pods
-// contain.
+// maxJobNameLengthInPodName is the number of characters to which the name of a Job is shortened in the
+// names of its Pods.
 const maxJobNameLengthInPodName = 52
 
 // newTask returns a new task for a completion index of a Job.
@@ -141,8 +142,8 @@
 	return newTask
 }
 
-// newPod returns the Pod of a new task. The Pod shares its Spec with the template of the Job, which is safe
-// because stored objects are never modified.
+// newPod returns the Pod of a new task. The Pod shares its Spec with the Pod template of the Job, which is
+// safe because stored objects are never modified.
 func (s *jobStarter) newPod(task *task) *corev1.Pod {
 	object := task.job.object
 	index := strconv.Itoa(task.index)
@@ -171,8 +172,8 @@
 	return maps.Clone(original)
 }
 
-// pendingPods returns the number and the cost in bytes of the Pods that have yet to be created for the Jobs
-// in the backlog.
+// pendingPods returns the number of the Pods that have yet to be created for the Jobs in the backlog, and
+// the estimated cost of these Pods in bytes.
 func (s *jobStarter) pendingPods() (count int, bytes int64) {
 	for _, job := range s.backlog {
 		pendingCount := job.indexes.unstarted()
--- a/internal/kube/engine/job_state.go
+++ b/internal/kube/engine/job_state.go
@@ -1,7 +1,7 @@
 package engine
 
-// jobProgress states whether a Job runs, fails or has its final condition. A Job may be suspended in any of
-// these states (job.suspended).
+// jobProgress is the state of a Job on the way to its final condition. A Job may be suspended in any of
+// these states, which the field suspended of job records.
 type jobProgress uint8
 
 const (
@@ -21,7 +21,7 @@
 
 func (p jobProgress) String() string { return jobProgressNames[p] }
 
-// jobProgressTransitions lists the states that may follow each state.
+// jobProgressTransitions lists, for each state of the progress of a Job, the states that may follow it.
 var jobProgressTransitions = transitionTable[jobProgress]{
 	jobRunning: {jobFailing, jobEnded},
 	jobFailing: {jobFailed},
@@ -29,14 +29,15 @@
 	jobEnded:   {},
 }
 
-// finished reports whether a Job in this state has its final condition.
+// finished reports whether a Job in this state has its final condition, which is Complete or Failed.
 func (p jobProgress) finished() bool { return p == jobFailed || p == jobEnded }
 
-// failsAsWhole reports whether a Job in this state fails as a whole. Such a Job fails, or has failed, for a
-// reason other than the failure of its completion indexes.
+// failsAsWhole reports whether a Job in this state fails, or has failed, as a whole. The reason for such a
+// failure is not the failure of completion indexes.
 func (p jobProgress) failsAsWhole() bool { return p == jobFailing || p == jobFailed }
 
-// afterLastTask returns the next state of a Job that has no tasks left and will start no more.
+// afterLastTask returns the next state of a Job that has no active tasks and will not start any more
+// tasks.
 func (p jobProgress) afterLastTask() jobProgress {
 	if p == jobFailing {
 		return jobFailed
@@ -44,7 +45,8 @@
 	return jobEnded
 }
 
-// jobDeletion states whether a Job is deleted, and whether the deleted Job is still stored.
+// jobDeletion is the deletion state of a Job: it states whether the Job is deleted, and whether a deleted
+// Job is still stored.
 type jobDeletion uint8
 
 const (
@@ -62,15 +64,15 @@
 
 func (d jobDeletion) String() string { return jobDeletionNames[d] }
 
-// jobDeletionTransitions lists the states that may follow each state.
+// jobDeletionTransitions lists, for each deletion state of a Job, the deletion states that may follow it.
 var jobDeletionTransitions = transitionTable[jobDeletion]{
 	jobKept:               {jobDeletingForeground, jobDeleted},
 	jobDeletingForeground: {jobDeleted},
 	jobDeleted:            {},
 }
 
-// setProgress is the only function that changes the progress of a Job. It also carries out an illegal
-// transition, which CheckInvariants reports.
+// setProgress is the only function that changes the progress of a Job. It makes the transition even if the
+// transition is illegal; CheckInvariants then reports an error.
 func (j *job) setProgress(next jobProgress) {
 	if !jobProgressTransitions.permits(j.progress, next) {
 		j.transitions.recordIllegal("Job %s made an illegal transition from %s to %s", j.key, j.progress, next)
@@ -78,8 +80,8 @@
 	j.progress = next
 }
 
-// setDeletion is the only function that changes the deletion state of a Job. It also carries out an illegal
-// transition, which CheckInvariants reports.
+// setDeletion is the only function that changes the deletion state of a Job. It makes the transition even
+// if the transition is illegal; CheckInvariants then reports an error.
 func (j *job) setDeletion(next jobDeletion) {
 	if !jobDeletionTransitions.permits(j.deletion, next) {
 		j.transitions.recordIllegal("Job %s made an illegal transition of its deletion state from %s to %s", j.key, j.deletion, next)
@@ -87,14 +89,15 @@
 	j.deletion = next
 }
 
-// isDeleted reports whether the Job has been deleted. The Job and its Pods may still be stored.
+// isDeleted reports whether the Job has been deleted. The Job may still be in the store until its Pods are
+// removed.
 func (j *job) isDeleted() bool { return j.deletion != jobKept }
 
 // canStart reports whether tasks of the Job may be started.
 func (j *job) canStart() bool { return !j.isDeleted() && !j.suspended && !j.progress.failsAsWhole() }
 
-// invariantViolation describes the first contradiction between the states of a Job in the job table, its Pods
-// and its tasks. It returns "" if there is none.
+// invariantViolation describes the first contradiction between the states of a Job in the job table, its
+// Pods and its tasks. It returns "" if there is no contradiction.
 func (j *job) invariantViolation() string {
 	switch {
 	case j.deletion == jobDeleted:
--- a/internal/kube/engine/job_state_test.go
+++ b/internal/kube/engine/job_state_test.go
@@ -5,7 +5,8 @@
 	"testing"
 )
 
-// statePath is a test case: a sequence of states that a state machine enters after its initial state.
+// statePath is a test case. It contains the states that a state machine enters one after another,
+// beginning after the initial state.
 type statePath[S any] struct {
 	name      string
 	path      []S
@@ -19,8 +20,8 @@
 	firstError func() error
 }
 
-// checkStatePaths makes a new state machine enter the states of each path, and checks which transition is the
-// first illegal one.
+// checkStatePaths runs each test case on a new state machine. The machine enters the states of the path,
+// and checkStatePaths checks which transition is the first illegal one.
 func checkStatePaths[S any](t *testing.T, newMachine func(t *testing.T) stateMachine[S], paths []statePath[S]) {
 	t.Helper()
 	for _, test := range paths {
@@ -46,11 +47,11 @@
 		return stateMachine[jobProgress]{(&job{key: "default/j", transitions: transitions}).setProgress, func() error { return transitions.firstError }}
 	}
 	checkStatePaths(t, newMachine, []statePath[jobProgress]{
-		{"all indexes of the Job end", []jobProgress{jobEnded}, ""},
+		{"all completion indexes of the Job end", []jobProgress{jobEnded}, ""},
 		{"Job fails as a whole", []jobProgress{jobFailing, jobFailed}, ""},
-		{"Job fails without stopping its tasks", []jobProgress{jobFailed}, "made an illegal transition from running to failed"},
-		{"failing Job ends without a failure", []jobProgress{jobFailing, jobEnded}, "made an illegal transition from failing to ended"},
-		{"Job starts to fail after its end", []jobProgress{jobEnded, jobFailing}, "made an illegal transition from ended to failing"},
+		{"Job has failed before its tasks were stopped", []jobProgress{jobFailed}, "made an illegal transition from running to failed"},
+		{"Job that fails as a whole ends as if it had not failed", []jobProgress{jobFailing, jobEnded}, "made an illegal transition from failing to ended"},
+		{"Job fails as a whole after its end", []jobProgress{jobEnded, jobFailing}, "made an illegal transition from ended to failing"},
 		{"failed Job runs again", []jobProgress{jobFailing, jobFailed, jobRunning}, "made an illegal transition from failed to running"},
 	})
 }
@@ -77,18 +78,19 @@
 	}
 	checkStatePaths(t, newMachine, []statePath[indexState]{
 		{"task of the index succeeds", []indexState{indexActive, indexRetrying, indexFinished}, ""},
-		{"index is retried after its task has failed", []indexState{indexActive, indexRetrying, indexActive}, ""},
+		{"index gets another task after its task has failed", []indexState{indexActive, indexRetrying, indexActive}, ""},
 		{"index is started again after its Job was suspended", []indexState{indexActive, indexRetrying, indexPending, indexActive}, ""},
 		{"index fails because no node has reported its task", []indexState{indexFinished}, ""},
-		{"duplicate task is adopted after the index has finished", []indexState{indexFinished, indexActive}, ""},
-		{"index finishes while it has a task", []indexState{indexActive, indexFinished}, "index 0 of Job default/j made an illegal transition from active to finished"},
+		{"task of the index is adopted after the index has finished", []indexState{indexFinished, indexActive}, ""},
+		{"index finishes while it has a task", []indexState{indexActive, indexFinished}, "completion index 0 of Job default/j made an illegal transition from active to finished"},
 		{"index gets a second task while the first one runs", []indexState{indexActive, indexActive}, "made an illegal transition from active to active"},
-		{"index is retried before it had a task", []indexState{indexRetrying}, "made an illegal transition from pending to retrying"},
+		{"index is retried although it had no task", []indexState{indexRetrying}, "made an illegal transition from pending to retrying"},
 		{"finished index becomes pending", []indexState{indexFinished, indexPending}, "made an illegal transition from finished to pending"},
 	})
 }
 
-// TestIndexCounts checks the counts of a completionIndexTable while its three indexes start and end.
+// TestIndexCounts checks the counts of a completionIndexTable with three indexes while tasks of these
+// indexes start and end.
 func TestIndexCounts(t *testing.T) {
 	const parallelism = 2
 	table := newCompletionIndexTable("default/j", &transitionCheck{}, 3, 1)
@@ -100,7 +102,7 @@
 		table.start(index, &task{index: index})
 	}
 	if index, ok := table.takeNext(parallelism); ok {
-		t.Errorf("takeNext returned index %d although as many indexes are active as the parallelism permits, want no index", index)
+		t.Errorf("takeNext returned index %d although the number of active indexes has reached the parallelism, want no index", index)
 	}
 
 	table.end(0)
@@ -108,7 +110,7 @@
 	table.end(1)
 	table.fail(1, true)
 	if table.activeIndexes != 0 || table.succeededTasks != 1 || table.failedTasks != 1 || table.failedIndexes != 0 || table.allEnded() {
-		t.Errorf("one index has succeeded and one has failed and will be retried, but the counts are wrong: %+v", table)
+		t.Errorf("the counts of the table are wrong after one index has succeeded and the task of another has failed and will be retried: %+v", table)
 	}
 
 	table.restart(1)
@@ -118,9 +120,9 @@
 	table.failUnreported(1)
 	table.failUnreported(2)
 	if table.failedTasks != 3 || table.failedIndexes != 2 || !table.allEnded() || !table.unplacedMayHaveRun {
-		t.Errorf("all indexes have ended, two of them as failed, but the counts are wrong: %+v", table)
+		t.Errorf("the counts of the table are wrong after one index has succeeded and two indexes have failed: %+v", table)
 	}
 	if table.adopt(2, &task{index: 2}); table.failedIndexes != 1 || table.activeIndexes != 1 || table.outcomeCounts[outcomeFailed] != 2 {
-		t.Errorf("a duplicate task was adopted for a failed index, but the counts are wrong: %+v", table)
+		t.Errorf("the counts of the table are wrong after a task was adopted for a failed index: %+v", table)
 	}
 }
--- a/internal/kube/engine/job_status.go
+++ b/internal/kube/engine/job_status.go
@@ -11,17 +11,18 @@
 	"heathshed/internal/kube/wellknown"
 )
 
-// jobStatusWriter stores the statuses of Jobs that have changed, at the end of each call of the engine.
+// jobStatusWriter stores the changed statuses of Jobs at the end of each call of the engine.
 type jobStatusWriter struct {
 	*environment
 	jobs          *jobTable
 	jobController *jobController
 	publisher     *publisher
 
-	dirtyJobs []*job // Jobs whose status must be stored at the end of the call
+	dirtyJobs []*job // Jobs whose status may have changed during the current call
 }
 
-// writeDirty stores the statuses of the Jobs that markDirty has listed during the current call.
+// writeDirty stores the statuses of all Jobs for which markDirty was called during the current call of the
+// engine.
 func (w *jobStatusWriter) writeDirty() {
 	dirtyJobs := w.dirtyJobs
 	w.dirtyJobs = nil
@@ -31,7 +32,8 @@
 	}
 }
 
-// markDirty lists a Job for writeDirty, which stores the status of the Job at the end of the call.
+// markDirty records that the status of a Job may have changed. writeDirty then stores the status at the
+// end of the call.
 func (w *jobStatusWriter) markDirty(job *job) {
 	if !job.statusDirty {
 		job.statusDirty = true
@@ -39,7 +41,7 @@
 	}
 }
 
-// write stores a Job's status if it has changed.
+// write stores the status of a Job if the status has changed.
 func (w *jobStatusWriter) write(job *job) {
 	if job.isDeleted() || !w.jobs.contains(job) {
 		return
@@ -151,16 +153,16 @@
 	return nil
 }
 
-// setFinalJobCondition adds a condition to the status unless the status has a condition of this type. A
-// condition that it has added never changes.
+// setFinalJobCondition adds a condition to the status of a Job unless the status has a condition of the
+// same type. The condition is final and never changes afterwards.
 func setFinalJobCondition(status *batchv1.JobStatus, condition batchv1.JobCondition) {
 	if jobCondition(status, condition.Type) == nil {
 		status.Conditions = append(status.Conditions, condition)
 	}
 }
 
-// setJobSuspendedCondition adds the Suspended condition. If the condition exists and is false, because the
-// Job was resumed earlier, it becomes true again.
+// setJobSuspendedCondition adds the Suspended condition to the status of a Job. If the condition exists
+// but is false because the Job was resumed earlier, setJobSuspendedCondition makes it true again.
 func setJobSuspendedCondition(status *batchv1.JobStatus, condition batchv1.JobCondition) {
 	storedCondition := jobCondition(status, condition.Type)
 	switch {
--- a/internal/kube/engine/job_table.go
+++ b/internal/kube/engine/job_table.go
@@ -11,14 +11,17 @@
 
 // jobTable holds the Jobs of an Engine and records the order in which they finished.
 type jobTable struct {
-	byKey        map[string]*job // Jobs by their key, as returned by store.Key
-	finishedJobs []*job          // finished Jobs in order of their end; may contain deleted Jobs, which oldestFinished skips
+	byKey map[string]*job // Jobs by their key, as returned by store.Key
+	// finishedJobs contains the finished Jobs in the order in which they finished. It may contain deleted Jobs,
+	// which oldestFinished skips.
+	finishedJobs []*job
 }
 
 // get returns the Job with the given key, or nil if there is none.
 func (t *jobTable) get(key string) *job { return t.byKey[key] }
 
-// contains reports whether the table contains the given Job and not another Job with the same name.
+// contains reports whether the table contains the given Job. A Job with the same key that has replaced the
+// given Job does not count.
 func (t *jobTable) contains(job *job) bool { return t.byKey[job.key] == job }
 
 func (t *jobTable) add(job *job) { t.byKey[job.key] = job }
@@ -32,7 +35,7 @@
 	return true
 }
 
-// ownerOf returns the Job that owns a Pod, or nil if the Job is unknown.
+// ownerOf returns the Job that owns a Pod, or nil if this Job is not in the table.
 func (t *jobTable) ownerOf(pod *corev1.Pod) *job {
 	for i := range pod.OwnerReferences {
 		reference := &pod.OwnerReferences[i]
@@ -46,8 +49,9 @@
 	return nil
 }
 
-// finishedListSlack determines when deleted Jobs are removed from the list of finished Jobs: when the list is
-// longer than twice the number of Jobs in the table plus finishedListSlack.
+// finishedListSlack determines when the deleted Jobs are removed from the list of finished Jobs. This
+// happens when the list has more entries than twice the number of Jobs in the table plus
+// finishedListSlack.
 const finishedListSlack = 16
 
 // addFinished appends a Job to the list of finished Jobs.
@@ -73,7 +77,8 @@
 // dropOldestFinished removes the Job that finished first from the list of finished Jobs.
 func (t *jobTable) dropOldestFinished() { t.finishedJobs = t.finishedJobs[1:] }
 
-// checkInvariants returns an error if the states of a Job contradict each other, its Pods or its tasks.
+// checkInvariants returns an error if the state of any Job is contradictory in itself, or if it
+// contradicts the Pods or the tasks of the Job.
 func (t *jobTable) checkInvariants() error {
 	for key, job := range t.byKey {
 		if violation := job.invariantViolation(); violation != "" {
--- a/internal/kube/engine/job_table_test.go
+++ b/internal/kube/engine/job_table_test.go
@@ -17,11 +17,11 @@
 		want    string // key of the oldest finished Job; "" if there is none
 	}{
 		{"Job that finished first is returned", func(*jobTable, *job, *job) {}, "first"},
-		{"deleted Job is skipped", func(_ *jobTable, first, _ *job) { first.setDeletion(jobDeletingForeground) }, "second"},
-		{"removed Job is skipped", func(table *jobTable, first, _ *job) { table.remove(first) }, "second"},
-		{"replaced Job is skipped", func(table *jobTable, _, _ *job) { table.add(&job{key: "first"}) }, "second"},
-		{"dropped Job is not returned", func(table *jobTable, _, _ *job) { table.dropOldestFinished() }, "second"},
-		{"table without Jobs returns none", func(table *jobTable, first, second *job) {
+		{"Job that is being deleted is skipped", func(_ *jobTable, first, _ *job) { first.setDeletion(jobDeletingForeground) }, "second"},
+		{"Job that was removed from the table is skipped", func(table *jobTable, first, _ *job) { table.remove(first) }, "second"},
+		{"Job that another Job with the same key has replaced is skipped", func(table *jobTable, _, _ *job) { table.add(&job{key: "first"}) }, "second"},
+		{"Job that was dropped from the list of finished Jobs is not returned", func(table *jobTable, _, _ *job) { table.dropOldestFinished() }, "second"},
+		{"no Job is returned for a table without Jobs", func(table *jobTable, first, second *job) {
 			table.remove(first)
 			table.remove(second)
 		}, ""},
@@ -37,14 +37,14 @@
 				got = oldestJob.key
 			}
 			if got != test.want {
-				t.Errorf("the oldest finished Job is %q, want %q", got, test.want)
+				t.Errorf("oldestFinished returned the Job with key %q, want %q", got, test.want)
 			}
 		})
 	}
 }
 
-// TestFinishedListIsBounded guards against a list of finished Jobs in which deleted Jobs accumulate. The
-// number of Jobs in the table must limit the length of the list.
+// TestFinishedListIsBounded guards against deleted Jobs that accumulate in the list of finished Jobs. The
+// number of Jobs in the table must limit the length of this list.
 func TestFinishedListIsBounded(t *testing.T) {
 	table := &jobTable{byKey: map[string]*job{}}
 	for range 100 {
--- a/internal/kube/engine/job_update.go
+++ b/internal/kube/engine/job_update.go
@@ -36,7 +36,7 @@
 	return c.jobs.get(job.key).object, nil
 }
 
-// updatedJob returns a copy of a Job. The mutable fields of the copy have the values of the update.
+// updatedJob returns a copy of a Job in which the mutable fields have the values of the update.
 func updatedJob(currentObject, update *batchv1.Job) *batchv1.Job {
 	updatedObject := currentObject.DeepCopy()
 	updatedObject.Labels = maps.Clone(update.Labels)
@@ -70,8 +70,8 @@
 	return nil
 }
 
-// applySuspend suspends or resumes a Job after an update. If the update does neither, the Job is added to the
-// backlog, because the update may permit more tasks to start.
+// applySuspend suspends or resumes a Job after an update. If the update does neither, applySuspend adds
+// the Job to the backlog of jobStarter, because the update may permit more tasks to start.
 func (c *jobController) applySuspend(job *job, suspend bool) {
 	switch {
 	case suspend && !job.suspended && !job.progress.finished():
@@ -84,8 +84,8 @@
 	}
 }
 
-// suspend suspends a Job by deleting the Pods of its active tasks. The completion indexes of these tasks are
-// started again when the Job is resumed.
+// suspend stops a Job until it is resumed. It deletes the Pods of the active tasks. The completion indexes
+// of these tasks are started again when the Job is resumed.
 func (c *jobController) suspend(job *job) {
 	job.suspended = true
 	c.stopTimer(job.deadlineTimer)
--- a/internal/kube/engine/names.go
+++ b/internal/kube/engine/names.go
@@ -8,12 +8,14 @@
 	"heathshed/placer"
 )
 
-// serviceID returns the ID by which the placer knows a service. All schedulers compute the same ID.
+// serviceID returns the ID of a service for the placer. All schedulers compute the same ID for the same
+// service.
 func serviceID(namespace, service string) placer.ServiceID {
 	return placer.ServiceID(xxhash.Sum64String(namespace + "/" + service))
 }
 
-// intern returns the index of a name. A new name gets the next free index.
+// intern returns the index that the map assigns to a name. If the map does not contain the name, intern
+// adds the name with the next free index.
 func intern(indexByName map[string]int, name string) int {
 	index, ok := indexByName[name]
 	if !ok {
@@ -26,5 +28,5 @@
 // jobKey returns the key under which jobTable stores a Job.
 func jobKey(object *batchv1.Job) string { return store.Key(object.Namespace, object.Name) }
 
-// defaultNamespace is accepted even if no tenant owns it.
+// defaultNamespace is a namespace in which Jobs are permitted even if no tenant owns the namespace.
 const defaultNamespace = "default"
--- a/internal/kube/engine/node.go
+++ b/internal/kube/engine/node.go
@@ -11,36 +11,37 @@
 	"heathshed/placer"
 )
 
-// node is the scheduler's record of one node. It combines the node's entry in the inventory, the node's own
-// reports, the tasks that run on the node, and the changes of its Node object that API clients requested.
+// node is the record that the scheduler keeps of one node. It combines four kinds of data: the entry of
+// the node in the inventory, the reports of the node itself, the tasks that run on the node, and the
+// changes of its Node object that API clients have requested.
 type node struct {
 	name    string
 	id      placer.NodeID
-	address string // host:port of the node's API; empty if it is unknown or the node is no longer watched
+	address string // host:port of the node's API; empty if it is unknown or the node's Pods are no longer watched
 	state   placer.NodeState
 
 	inventoryNode     *corev1.Node   // Node object as listed last by the inventory; nil if the node has left the inventory
-	reportedToPlacer  bool           // set once the placer has been told the node's state
+	reportedToPlacer  bool           // set once the engine has told the placer the state of the node
 	lossTimerStart    placer.Seconds // time at which the node loss timeout last started
-	listedIncarnation string         // incarnation that the inventory states
-	listedStartedAt   placer.Seconds // time at which listedIncarnation started, by the scheduler's clock; 0 means long ago
+	listedIncarnation string         // incarnation of the node that the inventory stated last
+	listedStartedAt   placer.Seconds // start of listedIncarnation by the scheduler's clock; 0 means that it started long ago
 
 	podsWatched      bool     // set while the node's Pods have been listed and are watched
-	incarnation      string   // present incarnation as stated by the node itself
-	pastIncarnations []string // earlier incarnations; late messages from them are not taken for a restart of the node
+	incarnation      string   // present incarnation of the node, as stated by the node itself
+	pastIncarnations []string // earlier incarnations; a late message from one of them is no sign of a restart
 
 	runningTasks    map[types.UID]*task   // tasks that the node has accepted and that have not ended
 	unknownOutcomes map[*attempt]struct{} // attempts at the node whose outcome is unknown
 
 	drainRequested       bool              // set while API clients want the node to be drained
-	labelOverride        map[string]string // labels set by the latest API update of the labels; nil if there was none
-	apiUpdatePending     bool              // set if an API update has not been published yet
+	labelOverride        map[string]string // labels that an API client set last; nil if no API client has set labels
+	apiUpdatePending     bool              // set while the stored Node lacks a change that an API client has requested
 	publishedAt          placer.Seconds    // time of the last change of the stored Node
 	publishedFingerprint uint64            // hash of the inventory's Node that was published last; see nodeFingerprint
 }
 
-// overrideLabels replaces the labels that the API shows for the node, except for the labels that only the
-// inventory may set.
+// overrideLabels sets the labels that the API shows for the node. The labels in inventoryLabels are
+// excepted: only the inventory may set them.
 func (n *node) overrideLabels(labels map[string]string) {
 	n.labelOverride = cloneOrEmpty(labels)
 	n.apiUpdatePending = true
@@ -52,8 +53,8 @@
 	n.apiUpdatePending = true
 }
 
-// beginPublish records that the inventory's Node with the given fingerprint and all pending API updates are
-// about to be published.
+// beginPublish records that the Node object is about to be published. It contains all changes that API
+// clients have requested. The given fingerprint belongs to the inventory's Node.
 func (n *node) beginPublish(fingerprint uint64) {
 	n.publishedFingerprint = fingerprint
 	n.apiUpdatePending = false
@@ -78,8 +79,8 @@
 	delete(n.unknownOutcomes, resolvedAttempt)
 }
 
-// unresolvedAttempts returns the attempts at the node whose outcome is unknown, ordered by the creation of
-// their tasks and then by attempt number.
+// unresolvedAttempts returns the attempts at the node whose outcome is unknown. They are ordered by the
+// creation of their tasks. The attempts of one task are ordered by attempt number.
 func (n *node) unresolvedAttempts() []*attempt {
 	attempts := make([]*attempt, 0, len(n.unknownOutcomes))
 	for attempt := range n.unknownOutcomes {
@@ -94,8 +95,9 @@
 // maxPastIncarnations is the number of past incarnations that are remembered for each node.
 const maxPastIncarnations = 16
 
-// recordIncarnation records the incarnation that the node states in a message. It returns true if this
-// incarnation replaces one that was known before. An empty, unchanged or past incarnation changes nothing.
+// recordIncarnation records the incarnation that the node states in a message. It returns true if another
+// incarnation of the node was known before and has now been replaced. An empty, unchanged or past
+// incarnation changes nothing.
 func (n *node) recordIncarnation(incarnation string) bool {
 	if incarnation == "" || incarnation == n.incarnation || slices.Contains(n.pastIncarnations, incarnation) {
 		return false
@@ -109,8 +111,8 @@
 	return previous != ""
 }
 
-// freeCapacity returns how many cores and how much memory in GiB of a node are not requested by any Pod. Both
-// are 0 if the Node has no valid annotation for its free capacity.
+// freeCapacity returns the cores and the memory in GiB of a node that no Pod requests. Both are 0 if the
+// Node object has no valid annotation for the free capacity.
 func freeCapacity(object *corev1.Node) (cores, memory float64) {
 	freeValues, err := wellknown.ParseDict(object.Annotations[wellknown.FreeCapacity])
 	if err != nil {
--- a/internal/kube/engine/node_publish.go
+++ b/internal/kube/engine/node_publish.go
@@ -12,16 +12,16 @@
 	"heathshed/placer"
 )
 
-// minPublishInterval is the minimum time between two writes of a Node in which only the free capacity
-// changes.
+// minPublishInterval is the minimum time between two writes of a Node if only its free capacity has
+// changed.
 const minPublishInterval placer.Seconds = 5
 
 // inventoryLabels are the labels of a Node that only the inventory may set.
 var inventoryLabels = []string{wellknown.Zone, wellknown.Rack, wellknown.NodeType}
 
-// publishNode stores the Node that the API shows: the Node of the inventory with the labels and the drain
-// request that API clients have set. The free capacity changes often. If nothing else changes, the Node is
-// stored at most once per minPublishInterval.
+// publishNode stores the Node object that the API shows. This is the Node of the inventory with the labels
+// and the drain request of API clients. The free capacity of a node changes often. While nothing else
+// changes, publishNode stores the Node at most once per minPublishInterval.
 func (p *publisher) publishNode(node *node) {
 	if node.inventoryNode == nil {
 		p.store.Delete(store.Nodes, "", node.name)
@@ -51,11 +51,11 @@
 	return left.Annotations[wellknown.FreeCapacity] == right.Annotations[wellknown.FreeCapacity]
 }
 
-// onlyFreeCapacityDiffers reports whether two versions of a Node differ only in their free capacity. If it
-// returns true, it has set the free capacity of publishedNode to that of storedNode.
+// onlyFreeCapacityDiffers reports whether two versions of a Node differ only in the free capacity. If the
+// result is true, publishedNode has been modified: it now has the free capacity of storedNode.
 func onlyFreeCapacityDiffers(storedNode, publishedNode *corev1.Node) bool {
 	if publishedNode.Annotations == nil {
-		return false // Without annotations, there is no free capacity that could differ.
+		return false // The Node states no free capacity, because the free capacity is an annotation.
 	}
 	newFreeCapacity := publishedNode.Annotations[wellknown.FreeCapacity]
 	publishedNode.Annotations[wellknown.FreeCapacity] = storedNode.Annotations[wellknown.FreeCapacity]
@@ -66,7 +66,7 @@
 	return false
 }
 
-// apiObject returns a new Node object for the node as the API shows it.
+// apiObject returns a new Node object that describes the node as the API shows it.
 func (n *node) apiObject() *corev1.Node {
 	object := n.inventoryNode.DeepCopy()
 	if n.labelOverride != nil {
--- a/internal/kube/engine/node_registry.go
+++ b/internal/kube/engine/node_registry.go
@@ -11,7 +11,7 @@
 	"heathshed/placer"
 )
 
-// Listing states what a call of NodesListed reports about the inventory.
+// Listing is the kind of report that a call of NodesListed makes about the inventory.
 type Listing uint8
 
 const (
@@ -33,9 +33,9 @@
 
 	byName          map[string]*node
 	byID            map[placer.NodeID]*node
-	zones           map[string]int // index by which the placer knows a zone, by zone name
-	racks           map[string]int // index by which the placer knows a rack, by rack name
-	inventoryListed bool           // set once the inventory has been listed
+	zones           map[string]int // for the name of each zone, the index that the placer uses for the zone
+	racks           map[string]int // for the name of each rack, the index that the placer uses for the rack
+	inventoryListed bool           // set once the engine has received a list of the inventory
 }
 
 // getByName returns the node with the given name, or nil if the node is unknown.
@@ -47,8 +47,8 @@
 // applyListing implements Engine.NodesListed.
 func (r *nodeRegistry) applyListing(kind Listing, nodes []*corev1.Node, removedNames []string) {
 	if kind == ListUnavailable {
-		// The caller resumes its watch of the inventory by itself. The placer needs an answer only if it
-		// requests the lists.
+		// The caller itself resumes its watch of the inventory. The placer waits for an answer only if it
+		// has requested the list, which is the case if MustPoll is set.
 		if r.cfg.Placer.Discovery.MustPoll {
 			r.post(placer.Event{Kind: placer.NodesListed, List: placer.ListFailed})
 		}
@@ -71,8 +71,8 @@
 	r.post(placer.Event{Kind: placer.NodesListed, List: listKind, Nodes: placerNodes})
 }
 
-// applyNodes updates the records of the given nodes and returns the records. It skips a node whose placer
-// ID already belongs to another node.
+// applyNodes updates the records of the listed nodes, and returns these records. It skips a node if the
+// placer ID of the node already belongs to another node.
 func (r *nodeRegistry) applyNodes(listedNodes []*corev1.Node) []*node {
 	var updatedNodes []*node
 	for _, object := range listedNodes {
@@ -81,8 +81,8 @@
 			continue
 		}
 		r.setAddress(node, wellknown.NodeAddress(object))
-		// The list may be out of date and state an earlier incarnation, so it does not set
-		// node.incarnation. Only the node itself knows its present incarnation.
+		// The list may be out of date and may state an earlier incarnation. The list must not change
+		// node.incarnation, because only the node itself knows its present incarnation.
 		node.inventoryNode = object
 		updatedNodes = append(updatedNodes, node)
 	}
@@ -104,8 +104,8 @@
 	return addedNode
 }
 
-// setAddress records the address of a node. If the address has changed, the Pods of the node are watched at
-// the new address instead of the old one.
+// setAddress records the address of a node. If the address has changed, the engine ends the watch of the
+// Pods at the old address, and starts a watch at the new one.
 func (r *nodeRegistry) setAddress(node *node, address string) {
 	if address == node.address {
 		return
@@ -120,8 +120,8 @@
 	}
 }
 
-// missingFromList returns the names of the nodes that were in the inventory until now and are missing from a
-// new full list. The names are in random order.
+// missingFromList returns the names of the nodes that a new full list of the inventory no longer contains.
+// The names are in random order.
 func (r *nodeRegistry) missingFromList(listedNodes []*corev1.Node) []string {
 	listedNames := make(map[string]bool, len(listedNodes))
 	for _, object := range listedNodes {
@@ -149,8 +149,9 @@
 	return removedNodes
 }
 
-// refreshPlacerNode updates the state of a node from its inventory entry and the drain request, and returns
-// the node's description for the placer. If the node has become Terminated, the node loss timeout starts.
+// refreshPlacerNode updates the state of a node from its inventory entry and the drain request of API
+// clients, and returns a description of the node for the placer. If the state changes to Terminated, the
+// node loss timeout starts.
 func (r *nodeRegistry) refreshPlacerNode(node *node) placer.Node {
 	previousState := node.state
 	node.state = placer.Terminated
@@ -176,12 +177,12 @@
 	return placerNode
 }
 
-// incarnationStart returns the time at which the incarnation that the inventory states for a node started, by
-// this scheduler's clock. 0 means long ago. If the incarnation appeared after the first list, the result is
-// the time at which the inventory first listed it. The node's own timestamp is not used in this case, because
-// the clocks of nodes differ: a node that has just started and whose clock is behind would get no slow start.
-// The time of the list is later than the true start by the delay of the list, which only prolongs the slow
-// start.
+// incarnationStart returns the start time of the incarnation that the inventory states for a node, by this
+// scheduler's clock. 0 means that the incarnation started long ago. If the incarnation appeared after the
+// first list, the result is the time at which the inventory first listed the incarnation. The timestamp of
+// the node itself is not used in this case, because the clocks of nodes differ: a node that has just
+// started and whose clock is behind would get no slow start. The list arrives somewhat later than the true
+// start of the incarnation, which only prolongs the slow start.
 func (r *nodeRegistry) incarnationStart(node *node) placer.Seconds {
 	incarnation := node.inventoryNode.Status.NodeInfo.BootID
 	if node.reportedToPlacer && incarnation != "" && incarnation == node.listedIncarnation {
@@ -194,8 +195,8 @@
 	case r.inventoryListed:
 		node.listedStartedAt = r.now
 	default:
-		// The node was in the first list that this scheduler received. Only the node's own timestamp tells
-		// when the node started.
+		// The node was in the first list that this scheduler received. Only the timestamp of the node
+		// itself states when the node started.
 		node.listedStartedAt = min(statedStart, r.now)
 	}
 	node.listedIncarnation = incarnation
@@ -210,8 +211,9 @@
 }
 
 // checkNodeLoss ends the tasks of a node that has been absent from the inventory and unresponsive for the
-// whole node loss timeout. A non-idempotent task is not ended: the node may only be unreachable, and only
-// the node itself or a new incarnation of it can confirm that the task has ended.
+// whole node loss timeout. It does not end non-idempotent tasks, because the node may run them although
+// this scheduler cannot reach the node. Only the node itself or a new incarnation of the node can confirm
+// that such a task has ended.
 func (r *nodeRegistry) checkNodeLoss(node *node) {
 	elapsed := r.now - node.lossTimerStart
 	if node.state != placer.Terminated || node.podsWatched || elapsed < r.cfg.NodeLossTimeout {
@@ -236,8 +238,8 @@
 	node.podsWatched = false
 }
 
-// countNodes returns the number of nodes that are ready or draining, and the number of those whose Pods are
-// watched. It implements Engine.NodeCounts.
+// countNodes implements Engine.NodeCounts. It returns the number of nodes that are ready or draining, and
+// the number of these nodes whose Pods are watched.
 func (r *nodeRegistry) countNodes() (listedCount, watchedCount int) {
 	for _, node := range r.byName {
 		if node.state == placer.Terminated {
@@ -251,15 +253,16 @@
 	return listedCount, watchedCount
 }
 
-// recordPodList records that a node has listed its Pods and that its Pods are now watched.
+// recordPodList records that a node has listed its Pods, and that the Pods of the node are watched from
+// now on.
 func (r *nodeRegistry) recordPodList(node *node, incarnation string) {
 	node.podsWatched = true
 	r.observeIncarnation(node, incarnation)
 }
 
-// observeIncarnation handles the incarnation that a node states. If the incarnation is new, every task that
-// an earlier incarnation accepted is lost, since no task survives a restart of its node. An attempt whose
-// outcome is unknown may have run in the earlier incarnation.
+// observeIncarnation handles the incarnation that a node states. If the incarnation is new, all tasks that
+// earlier incarnations accepted are lost, because no task survives a restart of its node. Attempts with an
+// unknown outcome may have run in an earlier incarnation.
 func (r *nodeRegistry) observeIncarnation(node *node, incarnation string) {
 	if !node.recordIncarnation(incarnation) {
 		return
@@ -276,8 +279,8 @@
 	}
 }
 
-// markUnresponsive records that the Pods of a node can no longer be watched. It implements
-// Engine.NodeUnresponsive.
+// markUnresponsive implements Engine.NodeUnresponsive. It records that the Pods of a node can no longer be
+// watched.
 func (r *nodeRegistry) markUnresponsive(name string) {
 	node := r.byName[name]
 	if node == nil || !node.podsWatched {
--- a/internal/kube/engine/node_test.go
+++ b/internal/kube/engine/node_test.go
@@ -12,11 +12,11 @@
 		statedIncarnation   string
 		want                bool // whether statedIncarnation replaces a known incarnation
 	}{
-		{"first incarnation", nil, "a", false},
-		{"no incarnation stated", []string{"a"}, "", false},
-		{"present incarnation", []string{"a"}, "a", false},
-		{"new incarnation", []string{"a"}, "b", true},
-		{"past incarnation in a late message", []string{"a", "b"}, "a", false},
+		{"node states its first incarnation", nil, "a", false},
+		{"message states no incarnation", []string{"a"}, "", false},
+		{"node states its present incarnation again", []string{"a"}, "a", false},
+		{"node states a new incarnation", []string{"a"}, "b", true},
+		{"late message states a past incarnation", []string{"a", "b"}, "a", false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			testNode := &node{}
@@ -24,7 +24,7 @@
 				testNode.recordIncarnation(incarnation)
 			}
 			if got := testNode.recordIncarnation(test.statedIncarnation); got != test.want {
-				t.Errorf("recordIncarnation returned %v, want %v: it reports whether a known incarnation was replaced", got, test.want)
+				t.Errorf("recordIncarnation returned %v as the answer to whether a known incarnation was replaced, want %v", got, test.want)
 			}
 		})
 	}
@@ -38,12 +38,13 @@
 		testNode.recordIncarnation(fmt.Sprint("incarnation-", restart))
 	}
 	if got := len(testNode.pastIncarnations); got != maxPastIncarnations {
-		t.Errorf("the node has a list of %d past incarnations, want %d", got, maxPastIncarnations)
+		t.Errorf("the node remembers %d past incarnations after many restarts, want %d", got, maxPastIncarnations)
 	}
 }
 
-// TestUnresolvedAttemptsInCreationOrder checks that a node returns its attempts with an unknown outcome in a
-// fixed order. The random iteration order of the map that holds them must not determine the order of effects.
+// TestUnresolvedAttemptsInCreationOrder checks that a node returns its attempts with an unknown outcome in
+// a fixed order. A map holds these attempts, and the random order in which it is iterated must not
+// determine the order of effects.
 func TestUnresolvedAttemptsInCreationOrder(t *testing.T) {
 	testNode := &node{}
 	for _, sequence := range []int{4, 1, 3, 0, 2} {
--- a/internal/kube/engine/node_update.go
+++ b/internal/kube/engine/node_update.go
@@ -36,7 +36,8 @@
 	return r.publisher.storedNode(update.Name), nil
 }
 
-// validateNodeUpdate returns an error if an update changes a label that only the inventory may set.
+// validateNodeUpdate returns an error if an update changes one of the labels that only the inventory may
+// set.
 func validateNodeUpdate(storedNode, update *corev1.Node) *InvalidError {
 	for _, key := range inventoryLabels {
 		if update.Labels[key] != storedNode.Labels[key] {
@@ -50,7 +51,7 @@
 	return nil
 }
 
-// previewUpdate returns the Node that an update would store. It is used for dry runs.
+// previewUpdate returns the Node object that an update would store. updateNode uses it for dry runs.
 func (n *node) previewUpdate(storedNode, update *corev1.Node, drain *bool) *corev1.Node {
 	preview := storedNode.DeepCopy()
 	preview.Labels = update.Labels
--- a/internal/kube/engine/pod.go
+++ b/internal/kube/engine/pod.go
@@ -10,22 +10,22 @@
 	"heathshed/placer"
 )
 
-// podRevision returns the resource version of a Pod at its node as a number, or 0 if the Pod does not state
-// a number.
+// podRevision returns the resource version of a Pod as a number, as the node of the Pod states it. It
+// returns 0 if the resource version is not a number.
 func podRevision(pod *corev1.Pod) int64 {
 	revision, _ := strconv.ParseInt(pod.ResourceVersion, 10, 64)
 	return revision
 }
 
-// The engine stores these exit codes for the containers of ended tasks. Nodes do not report exit codes; the
-// engine derives them from the way in which a task ended.
+// The engine stores these exit codes for the containers of ended tasks. Nodes do not report exit codes.
+// The engine derives an exit code from the way in which the task ended.
 const (
 	exitSuccess = 0
 	exitFailure = 1
 	exitKilled  = 137 // 128 + SIGKILL, as a container runtime reports a killed process
 )
 
-// exitCode returns the exit code to store for each container of an ended task.
+// exitCode returns the exit code that the engine stores for each container of an ended task.
 func (end *taskEnd) exitCode() int32 {
 	switch {
 	case end.succeeded():
@@ -66,7 +66,8 @@
 	}
 }
 
-// deletionGracePeriodSeconds is the grace period of deleted Pods. It is the default of the Kubernetes API.
+// deletionGracePeriodSeconds is the grace period in seconds that deleted Pods state. The Kubernetes API
+// has the same default.
 const deletionGracePeriodSeconds = 30
 
 // setPodPlaced records in a Pod that a node has accepted the Pod's task.
@@ -76,7 +77,7 @@
 	setPodCondition(pod, corev1.PodCondition{Type: corev1.PodScheduled, Status: corev1.ConditionTrue, LastTransitionTime: now})
 }
 
-// setPodUnplaced records in a Pod that the Pod's task has ended without being placed.
+// setPodUnplaced records in a Pod that the Pod's task has ended and was not placed.
 func setPodUnplaced(pod *corev1.Pod, now metav1.Time, outcome taskOutcome, message string) {
 	setPodSettled(pod, now, outcome, message)
 	pod.Status.Phase = corev1.PodFailed
--- a/internal/kube/engine/pod_controller.go
+++ b/internal/kube/engine/pod_controller.go
@@ -15,8 +15,8 @@
 	publisher     *publisher
 }
 
-// deleteByName implements Engine.DeletePod. It returns the Pod as it is stored afterwards, or as it was last
-// stored if it has been removed.
+// deleteByName implements Engine.DeletePod. It returns the Pod as stored at the end of the call, or as
+// last stored if the call has removed it.
 func (c *podController) deleteByName(namespace, name string, uid types.UID, resourceVersion string) (*corev1.Pod, error) {
 	pod, err := c.find(namespace, name, uid, resourceVersion)
 	if err != nil {
@@ -39,8 +39,8 @@
 	return pod, checkPreconditions(pod, uid, resourceVersion)
 }
 
-// evict implements Engine.EvictPod. It stops the running task of a Pod, and the Job of the task starts it
-// again. If the task of the Pod is not running, the Pod is deleted.
+// evict implements Engine.EvictPod. It stops the running task of a Pod, and the Job of the task then
+// starts a new task in its place. If the task of the Pod is not running, evict deletes the Pod.
 func (c *podController) evict(namespace, name string, uid types.UID) error {
 	pod, err := c.find(namespace, name, uid, "")
 	if err != nil {
@@ -55,8 +55,8 @@
 	return nil
 }
 
-// delete stops the task of a Pod and marks the Pod as being deleted. The Pod is removed once the task has
-// ended, or at once if the Pod has no task.
+// delete stops the task of a Pod and marks the Pod as being deleted. The Pod is removed from the store
+// once the task has ended. A Pod without a task is removed at once.
 func (c *podController) delete(pod *corev1.Pod, reason stopReason) {
 	task := c.tasks.get(pod.UID)
 	if task == nil {
--- a/internal/kube/engine/pod_observer.go
+++ b/internal/kube/engine/pod_observer.go
@@ -18,8 +18,8 @@
 	adopter   *adopter
 }
 
-// observePodList implements Engine.PodsListed, which reports a node's complete list of Pods. A running task
-// that is missing from the list has ended.
+// observePodList implements Engine.PodsListed. It handles the complete list of a node's Pods. A running
+// task of the node has ended if the list does not contain its Pod.
 func (o *podObserver) observePodList(nodeName, incarnation string, revision int64, pods []*corev1.Pod) {
 	node := o.nodes.getByName(nodeName)
 	if node == nil {
@@ -32,23 +32,24 @@
 		o.observePod(node, pod, false)
 	}
 	for _, task := range inCreationOrder(node.runningTasks) {
-		// A task that the node accepted after it made the list has a newer revision than the list. Such a
-		// task is not missing.
+		// If the node accepted a task after it had made the list, the revision of the task is newer than
+		// the revision of the list. Such a task is not missing.
 		if !reportedUIDs[task.uid] && task.attempts.runningAttempt.revision <= revision {
 			o.endMissingTask(task)
 		}
 	}
 }
 
-// observePodChange implements Engine.PodChanged, which reports a change of one Pod.
+// observePodChange implements Engine.PodChanged. It handles the report of a change of one Pod.
 func (o *podObserver) observePodChange(nodeName string, pod *corev1.Pod, deleted bool) {
 	if node := o.nodes.getByName(nodeName); node != nil {
 		o.observePod(node, pod, deleted)
 	}
 }
 
-// observePod handles a node's report of a Pod. It updates the task to which the Pod belongs, adopts a Pod
-// without a task, or stops a duplicate of a task.
+// observePod handles a node's report of a Pod. If the Pod belongs to a known task, observePod updates the
+// task, or makes the node stop the Pod if it is a duplicate of the task. If the Pod belongs to no known
+// task, observePod adopts the Pod.
 func (o *podObserver) observePod(node *node, pod *corev1.Pod, deleted bool) {
 	task := o.tasks.get(pod.UID)
 	finished := deleted || wellknown.PodFinished(pod)
@@ -59,8 +60,8 @@
 		return
 	}
 	if inFlightAttempt := task.attempts.inFlightAttempt; inFlightAttempt != nil && inFlightAttempt.node == node {
-		// The answer to the attempt may still arrive. The report is kept until the answer has arrived or is
-		// known to be lost.
+		// The answer to the attempt may still arrive. The engine keeps the report until the answer has
+		// arrived or the engine no longer waits for it.
 		inFlightAttempt.keepReport(newPodReport(node, pod, deleted))
 		return
 	}
@@ -79,7 +80,8 @@
 	}
 }
 
-// newPodReport returns the record of a node's report of a Pod. It contains the node's present incarnation.
+// newPodReport returns a podReport for a Pod that a node has reported. The podReport contains the present
+// incarnation of the node.
 func newPodReport(node *node, pod *corev1.Pod, deleted bool) *podReport {
 	return &podReport{pod: pod, deleted: deleted, incarnation: node.incarnation, revision: podRevision(pod)}
 }
@@ -102,8 +104,8 @@
 	}
 }
 
-// reportUsage tells the placer which resource usage a node reports for a task. It ignores usage that is
-// missing or cannot be parsed.
+// reportUsage tells the placer the resource usage that a node reports for the Pod of a task. It ignores
+// usage values that are missing or invalid.
 func (o *podObserver) reportUsage(runningAttempt *attempt, pod *corev1.Pod) {
 	usageValues, err := wellknown.ParseDict(pod.Annotations[wellknown.Usage])
 	if err != nil {
@@ -119,10 +121,11 @@
 	}
 }
 
-// reasonError is the reason that a node reports for a Pod whose task has failed without being stopped.
+// reasonError is the reason that a node states for a Pod if the task of the Pod has failed by itself,
+// without being stopped.
 const reasonError = "Error"
 
-// endOfFailedPod describes the end of a task whose Pod is reported as failed by the node.
+// endOfFailedPod describes the end of a task if the node reports the Pod of the task as failed.
 func endOfFailedPod(task *task, pod *corev1.Pod) taskEnd {
 	end := taskEnd{result: placer.Lost, podReason: pod.Status.Reason, podMessage: pod.Status.Message}
 	switch pod.Status.Reason {
@@ -143,8 +146,8 @@
 	return end
 }
 
-// endMissingTask ends a task that ran on a node and that the node no longer reports. The task counts as
-// stopped if the engine has ordered the node to stop it, and as lost otherwise.
+// endMissingTask ends a task that ran on a node if the node no longer reports the Pod of the task. The
+// task counts as stopped if the engine has ordered the node to stop it. Otherwise it counts as lost.
 func (o *podObserver) endMissingTask(task *task) {
 	if task.isStopping() {
 		o.lifecycle.recordEnd(task, taskEnd{result: placer.Cancelled, podReason: string(task.stopReason)})
--- a/internal/kube/engine/publisher.go
+++ b/internal/kube/engine/publisher.go
@@ -50,9 +50,9 @@
 	return object.(*corev1.Pod)
 }
 
-// updatePod copies a task's Pod, applies mutate to the copy, and stores the copy. It does nothing if the Pod
-// is not stored. In the Spec, mutate may set only the node's name, because the old and the new Pod share the
-// rest of the Spec.
+// updatePod stores a modified copy of a task's Pod. The function mutate modifies the copy. updatePod does
+// nothing if the Pod is not stored. In the Spec, mutate may change only the name of the node, because the
+// old Pod and the copy share the rest of the Spec.
 func (p *publisher) updatePod(task *task, mutate func(pod *corev1.Pod)) {
 	storedPod := p.podOfTask(task)
 	if storedPod == nil {
@@ -85,34 +85,34 @@
 // objectCost returns the cost of all stored objects in bytes, as estimated by store.Cost.
 func (p *publisher) objectCost() int64 { return p.store.ObjectCost() }
 
-// publishPlaced stores in a task's Pod that a node has accepted the task.
+// publishPlaced records in the stored Pod of a task that a node has accepted the task.
 func (p *publisher) publishPlaced(task *task, message string) {
 	nodeName := task.attempts.runningAttempt.node.name
 	p.updatePod(task, func(pod *corev1.Pod) { setPodPlaced(pod, p.apiNow(), nodeName, message) })
 }
 
-// publishUnplaced stores in a task's Pod that the task has ended without being placed.
+// publishUnplaced records in the stored Pod of a task that the task has ended and was not placed.
 func (p *publisher) publishUnplaced(task *task, outcome taskOutcome, message string) {
 	p.updatePod(task, func(pod *corev1.Pod) { setPodUnplaced(pod, p.apiNow(), outcome, message) })
 }
 
-// publishNodeName stores the name of a task's node in the task's Pod. It does not change the final outcome
-// that the Pod already states.
+// publishNodeName records in the stored Pod of a task the name of the node that runs the task. It does not
+// change the final outcome that the Pod already states.
 func (p *publisher) publishNodeName(task *task, nodeName string) {
 	p.updatePod(task, func(pod *corev1.Pod) { pod.Spec.NodeName = nodeName })
 }
 
-// publishStarted stores in a task's Pod that the Pod's containers are running.
+// publishStarted records in the stored Pod of a task that the containers of the Pod are running.
 func (p *publisher) publishStarted(task *task) {
 	p.updatePod(task, func(pod *corev1.Pod) { setPodStarted(pod, p.apiNow()) })
 }
 
-// publishEnded stores in a task's Pod how the task has ended.
+// publishEnded records in the stored Pod of a task how the task has ended.
 func (p *publisher) publishEnded(task *task, end *taskEnd) {
 	p.updatePod(task, func(pod *corev1.Pod) { setPodEnded(pod, p.apiNow(), end) })
 }
 
-// publishDeleted stores in a task's Pod that the Pod is being deleted.
+// publishDeleted records in the stored Pod of a task that the Pod is being deleted.
 func (p *publisher) publishDeleted(task *task) {
 	p.updatePod(task, func(pod *corev1.Pod) { setPodDeleted(pod, p.apiNow()) })
 }
--- a/internal/kube/engine/reconcile.go
+++ b/internal/kube/engine/reconcile.go
@@ -10,11 +10,11 @@
 	"heathshed/placer"
 )
 
-// outcomeReconciler determines the outcomes of attempts that nodes may have accepted, and stops duplicates of
-// tasks. An unknown outcome becomes known through a late answer, a report of the node's watch, the answer to
-// a stop order, or a new incarnation of the node. To fence an attempt means to order its node to stop the
-// task and to reject the attempt if it arrives later. The types attemptHistory and node hold the attempts
-// with an unknown outcome.
+// outcomeReconciler determines the unknown outcomes of attempts, and stops duplicates of tasks. An unknown
+// outcome becomes known through a late answer, a report from the watch of the node's Pods, the answer to a
+// stop order, or a new incarnation of the node. To fence an attempt means to order its node to stop the
+// task and to reject the attempt if the attempt arrives later. The types attemptHistory and node hold the
+// attempts with an unknown outcome.
 type outcomeReconciler struct {
 	*environment
 	tasks     *taskTable
@@ -25,9 +25,9 @@
 	adopter   *adopter
 }
 
-// track starts to determine the outcome of an attempt that a node may have accepted. The attempt is fenced at
-// once if the task may run twice or is being stopped. Otherwise the engine first waits, for at most
-// UnknownOutcomeTimeout, for a report that the task runs.
+// track starts to determine the outcome of an attempt that a node may have accepted. If the task may run
+// twice or is being stopped, track fences the attempt at once. Otherwise it fences the attempt after
+// UnknownOutcomeTimeout, unless the outcome has become known by then.
 func (r *outcomeReconciler) track(attempt *attempt) {
 	task, node := attempt.task, attempt.node
 	r.stats.UnknownOutcomes++
@@ -48,7 +48,8 @@
 	r.scheduleFence(attempt, r.cfg.Retry.UnknownOutcomeTimeout)
 }
 
-// untrack removes an attempt whose outcome is known, and cancels the next stop order for it.
+// untrack removes an attempt whose outcome has become known, and cancels the next stop order for the
+// attempt.
 func (r *outcomeReconciler) untrack(attempt *attempt) {
 	if attempt.task.attempts.removeUnknownOutcome(attempt) {
 		attempt.node.removeUnknownOutcome(attempt)
@@ -90,7 +91,8 @@
 	}
 }
 
-// observe handles a node's report about an attempt with an unknown outcome.
+// observe handles a node's report of the Pod of a task if the outcome of an attempt for the task at this
+// node is unknown.
 func (r *outcomeReconciler) observe(attempt *attempt, report *podReport) {
 	if report.deleted || wellknown.PodFinished(report.pod) {
 		r.resolve(attempt, report.pod.Status.Reason != wellknown.NeverStarted)
@@ -103,24 +105,24 @@
 	}
 }
 
-// bindOrFence handles an attempt with an unknown outcome when the engine learns that the node has accepted
-// it. The task is bound to the attempt. If the task has another attempt or has ended, or if a stop order for
-// the attempt is in flight, the attempt is fenced instead.
+// bindOrFence is called when the engine learns that a node has accepted an attempt with an unknown
+// outcome. It binds the task to the attempt. It fences the attempt instead if the task has another attempt
+// or has ended, or if a stop order for the attempt is in flight.
 func (r *outcomeReconciler) bindOrFence(attempt *attempt, incarnation string, revision int64) {
 	task := attempt.task
 	if !task.state.canBind() || attempt.stopOrderInFlight {
 		r.fence(attempt)
 		return
 	}
-	// The task runs already, so the placer must not send it to another node. Its open placement request is
-	// withdrawn, and the task is reported to the placer as adopted.
+	// The node already runs the task, so the placer must not send the task to another node. The engine
+	// withdraws the open placement request of the task and reports the task to the placer as adopted.
 	r.untrack(attempt)
 	r.stats.Adopted++
 	r.requests.withdraw(task)
 	r.adopter.adoptTask(task, attempt.node, attempt.number, incarnation, revision)
 }
 
-// fence orders a node to stop a task that it may have accepted, and to reject the attempt if it arrives
+// fence orders the node of an attempt to stop the task, and to reject the attempt if the attempt arrives
 // later. The order is repeated until the node answers or has a new incarnation.
 func (r *outcomeReconciler) fence(attempt *attempt) {
 	if !attempt.hasUnknownOutcome() || attempt.stopOrderInFlight {
@@ -158,7 +160,8 @@
 	maxStopOrderDelayDoublings                = 5
 )
 
-// stopOrderDelay returns the delay before the next stop order, given the number of stop orders already sent.
+// stopOrderDelay returns the delay before the next stop order for an attempt. ordersSent is the number of
+// stop orders that the engine has already sent for the attempt.
 func stopOrderDelay(ordersSent int) placer.Seconds {
 	return min(minStopOrderDelay*placer.Seconds(int(1)<<min(ordersSent, maxStopOrderDelayDoublings)), maxStopOrderDelay)
 }
@@ -169,7 +172,7 @@
 	Node        string
 	Attempt     int
 	Incarnation string // incarnation of the node
-	Answered    bool   // set if the node answered; if not, only UID, Node and Attempt are valid
+	Answered    bool   // set if the node answered; otherwise only UID, Node and Attempt are valid
 	HadTask     bool   // set if the node had accepted this attempt of the task
 	MayHaveRun  bool   // set if the task may have run on the node
 }
@@ -193,8 +196,8 @@
 }
 
 // handleFenceAnswer handles the answer to a stop order for an attempt with an unknown outcome. If the node
-// does not have the task, its answer is valid only for its current incarnation: an earlier incarnation may
-// have run the task.
+// answers that it does not have the task, the answer holds only for the present incarnation of the node.
+// If an earlier incarnation received the attempt, it may have run the task.
 func (r *outcomeReconciler) handleFenceAnswer(attempt *attempt, answer *StopAnswer) {
 	attempt.stopOrderInFlight = false
 	if !answer.Answered {
--- a/internal/kube/engine/request.go
+++ b/internal/kube/engine/request.go
@@ -15,8 +15,8 @@
 	id       placer.TaskID
 	task     *task
 	attempts []*attempt
-	closed   bool // set once the request is shed or withdrawn, has the placer's final answer, or has an accepted attempt
-	isRetry  bool // set if an earlier request for the same task was submitted to the placer
+	closed   bool // set once the request is shed, withdrawn or answered by the placer, or an attempt of it is accepted
+	isRetry  bool // set if the engine had submitted an earlier request for the same task to the placer
 }
 
 // close records that the request has ended.
@@ -76,8 +76,9 @@
 	}
 }
 
-// admissionRequest describes a placement request to the admission controller. The cost is the task's share of
-// the capacity of a node of the first node type, in cores or in memory, whichever share is larger.
+// admissionRequest describes a placement request to the admission controller. The cost of the request is
+// the share of a node's capacity that the task needs, in cores or in memory, whichever share is larger.
+// The capacity is that of the first node type.
 func (r *requestTable) admissionRequest(request *placementRequest) admission.Request {
 	task := request.task
 	class := &r.cfg.Placer.Classes[task.class]
@@ -95,13 +96,13 @@
 	}
 }
 
-// deadline returns the deadline of a placement request that is submitted now.
+// deadline returns the deadline that a placement request for the task has if it is submitted now.
 func (r *requestTable) deadline(task *task) placer.Seconds {
 	return min(task.deadline, r.now+r.cfg.Placer.Classes[task.class].Deadline)
 }
 
-// submit passes an admitted placement request to the placer. The time limit of the class starts now, and not
-// when the request was queued.
+// submit passes an admitted placement request to the placer. The deadline of the task class is counted
+// from now, and not from the time at which the request was queued.
 func (r *requestTable) submit(request *placementRequest) {
 	task := request.task
 	r.tasks.setState(task, taskSubmitted)
@@ -158,8 +159,8 @@
 // minAdmissionPollInterval is the shortest time between two timer-driven polls of the admission controller.
 const minAdmissionPollInterval placer.Seconds = 0.001
 
-// schedulePoll makes sure that the engine is called at or before the given time. The timer needs no function
-// of its own because every call ends with a poll of the admission controller.
+// schedulePoll ensures that the caller calls the engine at the given time or earlier. The function of the
+// timer does nothing, because every call of the engine ends with a poll of the admission controller.
 func (r *requestTable) schedulePoll(at placer.Seconds) {
 	if r.pollTimer.Pending() && at >= r.pollTimer.At {
 		return
@@ -186,8 +187,9 @@
 	r.removeIfUnused(request)
 }
 
-// handleUnplaced handles the placer's final answer to a request whose task was not placed. An attempt that is
-// still in flight has not been answered by the deadline of the request, and is abandoned.
+// handleUnplaced handles the final answer of the placer to a request whose task was not placed. If an
+// attempt of the request is still in flight, its node has not answered by the deadline of the request, and
+// the engine abandons the attempt.
 func (r *requestTable) handleUnplaced(id placer.TaskID, cause retry.Cause, retryAfter placer.Seconds) {
 	request := r.byID[id]
 	if request == nil || request.closed {
@@ -201,8 +203,8 @@
 	r.lifecycle.retryOrSettle(request.task, cause, retryAfter)
 }
 
-// complete closes a placement request when the placer has answered it or a node has accepted an attempt. It
-// reports the result to the admission controller.
+// complete closes a placement request after the placer has given its final answer or a node has accepted
+// an attempt. It reports the result to the admission controller.
 func (r *requestTable) complete(request *placementRequest, accepted bool) {
 	request.close()
 	r.admission.Complete(r.now, uint64(request.id), accepted)
@@ -211,8 +213,9 @@
 // clearRequest detaches a task from its latest placement request, which has ended without a placement.
 func (r *requestTable) clearRequest(task *task) { task.request = nil }
 
-// removeIfUnused removes a closed placement request from the table. A request with an attempt in flight or
-// running is kept, because the placer identifies such an attempt by the ID of its request.
+// removeIfUnused removes a closed placement request from the table. It keeps the request while an attempt
+// of the request is in flight or running, because the placer identifies the attempt by the ID of the
+// request.
 func (r *requestTable) removeIfUnused(request *placementRequest) {
 	if request.closed && !request.hasOpenAttempt() {
 		delete(r.byID, request.id)
--- a/internal/kube/engine/script_calls_test.go
+++ b/internal/kube/engine/script_calls_test.go
@@ -16,7 +16,7 @@
 // pointerTo returns a pointer to a copy of a value.
 func pointerTo[T any](value T) *T { return &value }
 
-// randomJob returns a random Job, which is sometimes invalid.
+// randomJob returns a random Job. The Job is sometimes invalid.
 func (s *script) randomJob() *batchv1.Job {
 	job := &batchv1.Job{}
 	job.Namespace = []string{"default", "first", "second"}[s.rng.IntN(3)]
@@ -38,7 +38,7 @@
 	return job
 }
 
-// varyJob sometimes gives a Job a rare or invalid setting.
+// varyJob gives some of the Jobs a rare or invalid setting, at random.
 func (s *script) varyJob(job *batchv1.Job) {
 	switch s.rng.IntN(24) {
 	case 0:
@@ -92,7 +92,7 @@
 	return picked
 }
 
-// updateJob sends a random update of a random Job, which is sometimes invalid.
+// updateJob updates a random Job in a random way. The update is sometimes invalid.
 func (s *script) updateJob() {
 	object := s.randomObject(store.Jobs)
 	if object == nil {
@@ -123,7 +123,8 @@
 	s.recordResult(s.engine.UpdateJob(s.now, update, dryRun))
 }
 
-// deleteJob deletes a random Job with a random propagation policy. The preconditions sometimes do not hold.
+// deleteJob deletes a random Job with a random propagation policy. The name, the UID or the resource
+// version that it passes to the engine is sometimes wrong.
 func (s *script) deleteJob() {
 	object := s.randomObject(store.Jobs)
 	if object == nil {
@@ -145,7 +146,8 @@
 	s.recordResult(s.engine.DeleteJob(s.now, object.GetNamespace(), name, uid, revision, propagation))
 }
 
-// stopPod evicts or deletes a random Pod. The name or the UID is sometimes wrong.
+// stopPod evicts or deletes a random Pod. The name or the UID that it passes to the engine is sometimes
+// wrong.
 func (s *script) stopPod(evict bool) {
 	object := s.randomObject(store.Pods)
 	if object == nil {
@@ -165,7 +167,7 @@
 	s.recordResult(s.engine.DeletePod(s.now, object.GetNamespace(), name, uid, ""))
 }
 
-// updateNode sends a random update of a random Node, which is sometimes invalid.
+// updateNode updates a random Node in a random way. The update is sometimes invalid.
 func (s *script) updateNode() {
 	object := s.randomObject(store.Nodes)
 	if object == nil {
--- a/internal/kube/engine/script_nodes_test.go
+++ b/internal/kube/engine/script_nodes_test.go
@@ -22,19 +22,20 @@
 	ready       bool
 	removed     bool
 	draining    bool
-	pods        []*corev1.Pod     // accepted Pods in order of acceptance
-	fencedUpTo  map[types.UID]int // highest attempt number that the node rejects, by the UID of the Pod
+	pods        []*corev1.Pod     // Pods that the node has accepted, in the order of acceptance
+	fencedUpTo  map[types.UID]int // for the UID of each Pod, the highest attempt number that the node rejects
 }
 
 func (n *fakeNode) incarnationID() string { return fmt.Sprintf("%s-life-%d", n.name, n.incarnation) }
 
-// podIndex returns the index of a Pod in pods, or -1 if the node does not have the Pod.
+// podIndex returns the index of a Pod in the list of accepted Pods, or -1 if the node does not have the
+// Pod.
 func (n *fakeNode) podIndex(uid types.UID) int {
 	return slices.IndexFunc(n.pods, func(pod *corev1.Pod) bool { return pod.UID == uid })
 }
 
-// answerAttempt makes a node accept, reject or ignore an attempt at random, and schedules the answer, which
-// may be lost or late.
+// answerAttempt makes a node accept, reject or ignore an attempt at random, and schedules the answer of
+// the node. The answer may be lost or late.
 func (s *script) answerAttempt(effect engine.Effect) {
 	node := s.nodeByName(effect.Node)
 	answer := engine.AttemptAnswer{UID: effect.UID, Attempt: effect.Attempt, Node: effect.Node, Incarnation: node.incarnationID()}
@@ -83,8 +84,8 @@
 	return node.revision
 }
 
-// scheduleTaskRun schedules the reports of a node's watch about the Pod of a task: the task starts, the task
-// ends, and sometimes the Pod is deleted early.
+// scheduleTaskRun schedules the changes of the Pod that a node reports while the Pod's task runs: the task
+// starts, the task ends, and sometimes the Pod is deleted early.
 func (s *script) scheduleTaskRun(node *fakeNode, uid types.UID) {
 	incarnation := node.incarnation
 	reasons := []string{
@@ -110,7 +111,7 @@
 }
 
 // schedulePodChange schedules a change of a Pod at a node. The node reports the change to the engine that
-// runs at that time.
+// is present at that time.
 func (s *script) schedulePodChange(delay placer.Seconds, node *fakeNode, incarnation int, uid types.UID, change func(*corev1.Pod), remove bool) {
 	s.schedule(delay, func() {
 		i := node.podIndex(uid)
@@ -127,10 +128,11 @@
 		}
 		s.engine.PodChanged(s.now, node.name, pod, remove)
 	})
-	s.delayedCalls[len(s.delayedCalls)-1].incarnation = 0 // 0 means that the call is made even if the scheduler restarts first.
+	s.delayedCalls[len(s.delayedCalls)-1].incarnation = 0 // The call is made even if the scheduler restarts before.
 }
 
-// answerStop makes a node carry out a stop order or ignore it, at random, and schedules the answer.
+// answerStop makes a node carry out or ignore a stop order at random, and schedules the answer of the
+// node.
 func (s *script) answerStop(effect engine.Effect) {
 	node := s.nodeByName(effect.Node)
 	answer := engine.StopAnswer{UID: effect.UID, Node: effect.Node, Attempt: effect.Attempt}
@@ -186,7 +188,7 @@
 	s.engine.NodesListed(s.now, engine.FullList, listedNodes, nil)
 }
 
-// sendNodeChange reports the inventory's change of one node to the engine.
+// sendNodeChange reports to the engine that the entry of a node in the inventory has changed.
 func (s *script) sendNodeChange(node *fakeNode) {
 	if node.removed {
 		s.engine.NodesListed(s.now, engine.Changes, nil, []string{node.name})
@@ -195,8 +197,8 @@
 	s.engine.NodesListed(s.now, engine.Changes, []*corev1.Node{s.nodeObject(node)}, nil)
 }
 
-// injectNodeFault restarts, disconnects, removes, drains or restores a random node, or sends an unusual
-// report to the engine.
+// injectNodeFault restarts, disconnects, removes, drains or restores a random node, or sends the engine an
+// unusual report of the inventory or of a node.
 func (s *script) injectNodeFault() {
 	node := s.nodes[s.rng.IntN(len(s.nodes))]
 	switch s.rng.IntN(12) {
--- a/internal/kube/engine/script_test.go
+++ b/internal/kube/engine/script_test.go
@@ -26,24 +26,24 @@
 // delayedCall is a call of the engine that is due later.
 type delayedCall struct {
 	at          placer.Seconds
-	sequence    int // number of the call, which orders calls that are due at the same time
-	incarnation int // number of the engine for which the call is made; 0 means any engine
+	sequence    int // number of the call; calls that are due at the same time are made in the order of this number
+	incarnation int // number of the engine for which the call is made; 0 means that any engine gets the call
 	call        func()
 }
 
-// script drives one engine through seeded random calls, and records everything that is observable after each
+// script makes seeded random calls of one engine, and records everything that is observable after each
 // call.
 type script struct {
 	t            *testing.T
 	rng          *rand.Rand
 	config       engine.Config
 	engine       *engine.Engine
-	incarnation  int // number of the present engine; grows by one with each restart
+	incarnation  int // number of the present engine; each restart increases it by one
 	now          placer.Seconds
 	nodes        []*fakeNode
 	delayedCalls []delayedCall
 	sequence     int      // number of the latest delayed call
-	revision     int64    // revision up to which the changes of the store have been recorded
+	revision     int64    // all changes of the store up to this revision have been recorded
 	jobs         []string // namespaces and names of the created Jobs
 	recorder     *goldentest.Recorder
 	effectCounts [8]int64         // number of effects by kind of effect
@@ -51,8 +51,8 @@
 	errorCounts  map[string]int64 // number of errors by error text
 }
 
-// newScript returns a script with ten nodes and a new engine. configure, if not nil, modifies the engine's
-// configuration.
+// newScript returns a script with ten nodes and a new engine. If configure is not nil, it modifies the
+// configuration of the engine first.
 func newScript(t *testing.T, seed uint64, configure func(*engine.Config)) *script {
 	t.Helper()
 	defaults := config.Default()
@@ -71,7 +71,8 @@
 	return s
 }
 
-// restart replaces the engine by a new one, as a restart after a crash of the scheduler does.
+// restart replaces the engine by a new one. This is what happens when the scheduler crashes and is started
+// again.
 func (s *script) restart() {
 	s.incarnation++
 	config := s.config
@@ -91,7 +92,8 @@
 	return placer.Seconds(minDelay + delayRange*s.rng.Float64())
 }
 
-// schedule schedules a call of the current engine. The call is not made if the engine is replaced first.
+// schedule schedules a call of the present engine. The call is not made if the engine is replaced before
+// the call is due.
 func (s *script) schedule(delay placer.Seconds, call func()) {
 	s.sequence++
 	s.delayedCalls = append(s.delayedCalls, delayedCall{s.now + delay, s.sequence, s.incarnation, call})
@@ -139,7 +141,8 @@
 	s.recorder.Bytes(encodedJSON)
 }
 
-// recordChanges records all changes of the store since the last call, in order of revision.
+// recordChanges records all changes of the store since the last call of recordChanges, in the order of
+// their revisions.
 func (s *script) recordChanges() {
 	type tableChange struct {
 		table  store.Resource
@@ -222,8 +225,8 @@
 	s.recordState()
 }
 
-// advance moves the time forward. It runs the engine's timers and the delayed calls that are due until then,
-// in the order of their times.
+// advance moves the time forward to the given time. It runs the timers of the engine and the delayed calls
+// that are due by then, in the order of their times.
 func (s *script) advance(until placer.Seconds) {
 	for {
 		nextTime := s.engine.NextWake()
@@ -253,8 +256,9 @@
 	s.now = until
 }
 
-// checkpoint adds the counters of the engine to the record, and writes a line with the counters and the
-// digest of the record up to now.
+// checkpoint adds the counters of the engine to the record. It then writes two lines to the record: one
+// with the counters, and one with the digest of everything recorded so far. In the line with the counters,
+// the number after "open" is the number of tasks without a final outcome.
 func (s *script) checkpoint(label string) {
 	stats := s.engine.Stats
 	counters := []uint64{
@@ -270,9 +274,10 @@
 	s.recorder.Checkpoint(label)
 }
 
-// finish waits until all tasks have ended, stops the engine while new tasks are waiting, and records the
-// errors that occurred and the final state of all Pods. When the engine stops, no completion index waits to
-// be started again after its task ended; TestStopWhileTaskAwaitsRerun covers this case.
+// finish waits until all tasks have ended, and stops the engine while new tasks are waiting. It then
+// records the errors that occurred and the final state of all Pods. When finish stops the engine, no
+// completion index waits for a new start after its task has ended; TestStopWhileTaskAwaitsRerun covers
+// this case.
 func (s *script) finish() {
 	s.advance(s.now + 90)
 	s.checkpoint("before the stop")
--- a/internal/kube/engine/task_lifecycle.go
+++ b/internal/kube/engine/task_lifecycle.go
@@ -6,8 +6,8 @@
 )
 
 // taskLifecycle changes the states of tasks when a placement request ends, a node accepts a task, a task
-// ends, or a task must stop. It has no state of its own: it modifies tasks through taskTable, and Pods
-// through publisher.
+// ends, or a task must stop. It has no state of its own: it modifies tasks through taskTable, and the
+// stored Pods through publisher.
 type taskLifecycle struct {
 	*environment
 	tasks         *taskTable
@@ -68,8 +68,8 @@
 	l.reportSettled(task, outcomePlaced)
 }
 
-// settleUnplaced stores the final outcome of a waiting task that was not placed and will not be requested
-// again. It also ends the task.
+// settleUnplaced stores the final outcome of a waiting task that was not placed and that gets no further
+// placement request. It also ends the task.
 func (l *taskLifecycle) settleUnplaced(task *task, outcome taskOutcome, message string) {
 	if outcome == outcomeRejected {
 		l.stats.Rejected++
@@ -127,7 +127,8 @@
 // succeeded reports whether the task finished successfully.
 func (end *taskEnd) succeeded() bool { return end.result == placer.Finished && end.podReason == "" }
 
-// migrated reports whether the engine has stopped the task in order to start it again on another node.
+// migrated reports whether the engine has stopped the task in order to start a new task on another node in
+// its place.
 func (end *taskEnd) migrated() bool {
 	reason := stopReason(end.podReason)
 	return reason == stopMigrated || reason == stopEvicted && end.result == placer.Cancelled
@@ -156,7 +157,7 @@
 func (l *taskLifecycle) countTaskEnd(end *taskEnd) retry.Cause {
 	switch {
 	case end.result == placer.Finished:
-		return retry.Failed // nothing stopped the task: it ran until it succeeded or failed
+		return retry.Failed // the task was not stopped: it ran until it succeeded or failed
 	case end.reason == placer.Evicted:
 		l.stats.EvictedTasks++
 		return retry.Evicted
@@ -169,8 +170,8 @@
 	return retry.Lost
 }
 
-// terminate ends a task that is not running and will not be requested again. It fences the attempts whose
-// outcomes are unknown, and notifies the Job.
+// terminate ends a task that is not running and that gets no further placement request. It fences the
+// attempts whose outcomes are unknown, and notifies the Job of the task.
 func (l *taskLifecycle) terminate(task *task, succeeded bool, cause retry.Cause) {
 	l.tasks.setState(task, taskTerminating)
 	l.outcomes.fenceAll(task)
@@ -180,8 +181,8 @@
 	l.removeIfResolved(task)
 }
 
-// removeIfResolved removes a terminating task if none of its attempts has an unknown outcome. It also removes
-// the Pod of the task if the Pod was deleted.
+// removeIfResolved removes a terminating task unless an attempt of the task has an unknown outcome. If the
+// Pod of the task is marked as being deleted, removeIfResolved also removes the Pod from the store.
 func (l *taskLifecycle) removeIfResolved(task *task) {
 	if task.state != taskTerminating || task.attempts.hasUnknownOutcome() {
 		return
--- a/internal/kube/engine/task_outcome.go
+++ b/internal/kube/engine/task_outcome.go
@@ -11,15 +11,15 @@
 const (
 	// outcomePlaced means that a node has accepted the task.
 	outcomePlaced taskOutcome = wellknown.Placed
-	// outcomeRejected means that the task certainly never ran and will not be requested again.
+	// outcomeRejected means that the task gets no further placement request and certainly never ran.
 	outcomeRejected taskOutcome = wellknown.Rejected
-	// outcomeFailed means that the task will not be requested again but may have run.
+	// outcomeFailed means that the task gets no further placement request but may have run.
 	outcomeFailed taskOutcome = wellknown.Failed
 )
 
-// stopReason states why the engine stops a task; "" means that the task is not being stopped. It becomes the
-// reason in the Pod's status. If a Job fails as a whole, the reason of this failure is the stopReason of its
-// tasks.
+// stopReason states why the engine stops a task. "" means that the engine does not stop the task. The
+// stopReason becomes the reason in the status of the Pod. If a Job fails as a whole, the failure reason of
+// the Job is the stopReason of its tasks.
 type stopReason string
 
 const (
--- a/internal/kube/engine/task_stop.go
+++ b/internal/kube/engine/task_stop.go
@@ -5,12 +5,14 @@
 	"heathshed/placer"
 )
 
-// stoppingMessage states why a task is not placed after Engine.Stop. It is the message of tasks that are
-// waiting when Stop is called (stopAll), and of tasks that a Job starts later (jobStarter.startTask).
+// stoppingMessage is the message of a task that is not placed because Engine.Stop was called. It is used
+// for tasks that are waiting when Stop is called (stopAll), and for tasks that a Job starts later
+// (jobStarter.startTask).
 const stoppingMessage = "the scheduler stops"
 
-// stopAll implements Engine.Stop. Every task whose placement request the placer does not have gets its final
-// outcome, at once or after the wait for an unknown outcome. No placement request is retried.
+// stopAll implements Engine.Stop. A task gets its final outcome if the placer does not have its placement
+// request. The task gets this outcome at once, or after the wait for an unknown outcome. No placement
+// request is retried.
 func (l *taskLifecycle) stopAll() {
 	l.stopping = true
 	for _, task := range l.tasks.tasksInCreationOrder() {
@@ -23,9 +25,9 @@
 	}
 }
 
-// withdrawQueuedRequest cancels the placement request of a queued task when the engine stops. A queued task
-// has no pending timer. If an attempt of the task has an unknown outcome, withdrawQueuedRequest must set the
-// timer for the wait for this outcome, or settle the task.
+// withdrawQueuedRequest cancels the placement request of a queued task when the engine stops. No timer is
+// pending for a queued task. If an attempt of the task has an unknown outcome, withdrawQueuedRequest must
+// set the timer for the wait for this outcome, or must settle the task.
 func (l *taskLifecycle) withdrawQueuedRequest(task *task) {
 	l.requests.withdraw(task)
 	if task.attempts.hasUnknownOutcome() {
@@ -35,7 +37,8 @@
 	l.tasks.setState(task, taskWaiting)
 }
 
-// stop ends a task in any state. A running task ends when its node has answered the stop order.
+// stop ends a task in any state. A task that runs on a node ends when the node has answered the stop
+// order.
 func (l *taskLifecycle) stop(task *task, reason stopReason) {
 	if !task.isStopping() {
 		task.stopReason = reason
@@ -51,8 +54,8 @@
 	}
 	l.requests.withdraw(task)
 	if inFlightAttempt := task.attempts.inFlightAttempt; inFlightAttempt != nil {
-		// An attempt cannot be cancelled at the node. Its outcome becomes unknown, and the attempt is fenced
-		// at once.
+		// The engine cannot cancel an attempt at the node. The outcome of the attempt becomes unknown, and
+		// the engine fences the attempt at once.
 		l.attempts.abandon(inFlightAttempt, placer.Cancelled)
 	}
 	l.tasks.setState(task, taskWaiting)
@@ -67,7 +70,7 @@
 }
 
 // migrate stops a running task that the placer has decided to move to another node. The Job of the task
-// starts it again.
+// then starts a new task in its place.
 func (l *taskLifecycle) migrate(id placer.TaskID) {
 	request := l.requests.get(id)
 	if request == nil {
@@ -81,8 +84,8 @@
 	l.stopForRestart(task, stopMigrated)
 }
 
-// stopForRestart stops a running task that its Job will start again. It does nothing if the task is already
-// being stopped.
+// stopForRestart stops a running task. The Job of the task then starts a new task in its place.
+// stopForRestart does nothing if the task is already being stopped.
 func (l *taskLifecycle) stopForRestart(task *task, reason stopReason) {
 	if !task.isStopping() {
 		task.stopReason = reason
--- a/internal/kube/engine/task_table.go
+++ b/internal/kube/engine/task_table.go
@@ -35,14 +35,14 @@
 	t.openCount--
 }
 
-// remove removes a task that has ended from the table.
+// remove removes a task from the table after the task has ended.
 func (t *taskTable) remove(task *task) {
 	t.setState(task, taskRemoved)
 	delete(t.byUID, task.uid)
 }
 
-// setState is the only function that changes the state of a task. It also carries out an illegal transition,
-// which CheckInvariants reports.
+// setState is the only function that changes the state of a task. It makes the transition even if the
+// transition is illegal; CheckInvariants then reports an error.
 func (t *taskTable) setState(task *task, next taskState) {
 	if !taskTransitions.permits(task.state, next) {
 		t.transitions.recordIllegal("task %s made an illegal transition from %s to %s", task.uid, task.state, next)
@@ -63,7 +63,7 @@
 		}
 	}
 	if openCount != t.openCount {
-		return fmt.Errorf("engine: %d tasks have no final outcome, but the count of open tasks is %d", openCount, t.openCount)
+		return fmt.Errorf("engine: %d tasks have no final outcome, but the engine has counted %d", openCount, t.openCount)
 	}
 	return nil
 }
--- a/internal/kube/engine/wiring.go
+++ b/internal/kube/engine/wiring.go
@@ -8,8 +8,8 @@
 	"heathshed/placer"
 )
 
-// wire creates the components of an engine and connects them. All components are allocated before any of
-// them is initialized, because some refer to each other.
+// wire creates the components of an engine and connects them. It allocates all components before it
+// initializes any of them, because some components refer to each other.
 func (e *Engine) wire(admissionController *admission.Controller) {
 	e.publisher = new(publisher)
 	e.nodes = new(nodeRegistry)
@@ -32,7 +32,7 @@
 	e.wireJobs()
 }
 
-// wireStore initializes the component that owns the store.
+// wireStore initializes the publisher, which owns the store.
 func (e *Engine) wireStore() {
 	cfg := &e.cfg
 	*e.publisher = publisher{
@@ -131,7 +131,7 @@
 	}
 }
 
-// wireJobs initializes the components that handle Jobs.
+// wireJobs initializes the components that create, start, update and delete Jobs.
 func (e *Engine) wireJobs() {
 	*e.jobs = jobTable{
 		byKey: map[string]*job{},
