--- a/internal/kube/store/characterization_test.go
+++ b/internal/kube/store/characterization_test.go
@@ -16,9 +16,10 @@
 
 var tables = []store.Resource{store.Jobs, store.Pods, store.Nodes, store.Namespaces}
 
-// TestCharacterizeStore records the changes, snapshots, errors and history lengths of stores under seeded
-// random changes, and compares the record with a golden file. The golden file may be regenerated with
-// HEATHSHED_UPDATE_GOLDEN=1 only if behavior is meant to change; see package goldentest.
+// TestCharacterizeStore makes seeded random changes to stores. It records the changes, the snapshots, the
+// errors and the lengths of the histories, and compares the record with a golden file. The golden file may
+// be regenerated with HEATHSHED_UPDATE_GOLDEN=1 only if behavior is meant to change. Package goldentest
+// describes how.
 func TestCharacterizeStore(t *testing.T) {
 	recorder := goldentest.NewRecorder()
 	for i, testStore := range []*store.Store{store.New(100, 7), store.NewBounded(5000, 400, 150000), store.New(0, 3000)} {
@@ -28,8 +29,9 @@
 	recorder.Check(t, "store")
 }
 
-// recordKeptSnapshots calls KeepSnapshot for more snapshots than a store keeps. It then records which
-// snapshots FindSnapshot returns at several later times.
+// recordKeptSnapshots calls KeepSnapshot for more snapshots than a store keeps. Each line of the record
+// then shows, for a later time, the revisions of the snapshots that FindSnapshot still returns, and the
+// number of objects in each of them.
 func recordKeptSnapshots(recorder *goldentest.Recorder) {
 	testStore, rng := store.New(0, 1000), rand.New(rand.NewPCG(22, 0))
 	for i := range 80 {
@@ -47,7 +49,8 @@
 	}
 }
 
-// recordRandomChanges makes random changes to a store and records the results and what the store returns.
+// recordRandomChanges makes random changes to a store. It records the results of the changes, and what the
+// store returns to readers.
 func recordRandomChanges(recorder *goldentest.Recorder, label string, testStore *store.Store, seed uint64) {
 	rng := rand.New(rand.NewPCG(21, seed))
 	base, now := testStore.Revision(), placer.Seconds(0)
@@ -76,7 +79,7 @@
 	}
 }
 
-// changesSinceError returns the error of ChangesSince for a revision.
+// changesSinceError returns the error of a call of ChangesSince for the given revision.
 func changesSinceError(testStore *store.Store, table store.Resource, revision int64) error {
 	_, err := testStore.ChangesSince(table, revision, 1)
 	return err
@@ -119,8 +122,8 @@
 	}
 }
 
-// recordSnapshot keeps a snapshot, and records parts of the snapshot that FindSnapshot returns for a recent
-// revision.
+// recordSnapshot calls KeepSnapshot for the present state of a table. It then calls FindSnapshot for a
+// recent revision, and records parts of the snapshot that FindSnapshot returns.
 func recordSnapshot(recorder *goldentest.Recorder, testStore *store.Store, now placer.Seconds, table store.Resource, rng *rand.Rand) {
 	testStore.KeepSnapshot(now, testStore.Snapshot(table))
 	snapshot, err := testStore.FindSnapshot(now, table, testStore.Revision()-int64(rng.IntN(3)*10))
--- a/internal/kube/store/store.go
+++ b/internal/kube/store/store.go
@@ -1,13 +1,13 @@
-// Package store keeps API objects, as etcd does for the Kubernetes API server. Each change of an object gets
-// a revision. Requests that list objects are answered from a consistent snapshot, and requests that watch
-// objects are answered from a bounded history of changes.
+// Package store keeps API objects, as etcd does for the Kubernetes API server. Each change of an object
+// gets a revision. A request that lists objects is answered from a consistent snapshot. A request that
+// watches objects is answered from a bounded history of changes.
 //
-// Package engine writes to the store of a scheduler, and package api reads from it. For tests, package
-// emulator emulates nodes and the inventory, which is the API that lists all nodes; each of them has its own
-// store.
+// Package engine writes to the store of a scheduler, and package api reads from it. In tests, package
+// emulator emulates nodes and the inventory, which is the server that lists all nodes. Each emulated node
+// and the emulated inventory has a store of its own.
 //
-// The package is pure: it uses no I/O, no clock and no goroutines. A Store must be used by one goroutine at
-// a time; a Snapshot may be read by several goroutines. Stored objects must not be changed.
+// The package uses no I/O, no clock and no goroutines. Only one goroutine at a time may use a Store, but
+// several goroutines may read the same Snapshot. Stored objects must not be modified.
 //
 // New readers should start with Store.Put, which records a Change, with Store.ChangesSince, which serves
 // watch requests, and with Snapshot in snapshot.go, which serves list requests.
@@ -23,13 +23,13 @@
 	"k8s.io/apimachinery/pkg/runtime"
 )
 
-// Object is an API object with its metadata.
+// Object is an object of the Kubernetes API.
 type Object interface {
 	metav1.Object
 	runtime.Object
 }
 
-// Resource identifies a table of the store.
+// Resource identifies a type of objects and the table in which the store keeps them.
 type Resource uint8
 
 // The store has a table for each of these resources.
@@ -46,10 +46,10 @@
 // String returns the plural name that the API uses for the resource.
 func (r Resource) String() string { return resourceNames[r] }
 
-// Op is the kind of a change.
+// Op states what a change has done to an object.
 type Op uint8
 
-// These are the kinds of changes.
+// A change has added, modified or deleted its object.
 const (
 	Added Op = iota
 	Modified
@@ -60,44 +60,45 @@
 type Change struct {
 	Revision int64
 	Op       Op
-	Object   Object // object after the change; for Deleted, the last state of the object with the revision of the deletion
-	Previous Object // object before the change; nil for Added
+	Object   Object // object after the change; if Op is Deleted, its last state with the revision of the deletion
+	Previous Object // object before the change; nil if Op is Added
 
-	// JSON and Binary are cached encodings of Object. The first reader that needs an encoding sets it. The
-	// other readers then do not have to encode Object again.
+	// JSON and Binary are cached encodings of Object, or nil. The first reader that needs an encoding sets
+	// it, and the other readers then do not have to encode Object again.
 	JSON   []byte
 	Binary []byte
 
-	cost int64 // estimated memory in bytes, as returned by Cost
+	cost int64 // estimated memory use of the change in bytes, as returned by Cost
 }
 
-// These errors are returned by read operations. The API server sends their texts to clients in statuses.
+// Methods that read from the store return these errors. The API server sends the texts of the errors to
+// clients.
 var (
-	// ErrExpired means that the history no longer reaches back to the requested revision. The client must
-	// list the objects again.
+	// ErrExpired means that the history of the table no longer reaches back to the requested revision. The
+	// client must list the objects again.
 	ErrExpired = errors.New("the revision is older than the history that is kept")
 	// ErrFuture means that the requested revision does not exist yet.
 	ErrFuture = errors.New("the revision lies in the future")
 )
 
-// Store is a set of tables that share one sequence of revisions. It owns the objects, the histories of
-// changes and the kept snapshots.
+// Store is a set of tables whose changes get their revisions from one common sequence. It owns the
+// objects, the histories of changes, and the snapshots that are kept for clients.
 type Store struct {
 	revision       int64
 	tables         [resourceCount]table
 	historyLength  int        // maximum number of changes that the history of each table keeps
-	maxHistoryCost int64      // maximum cost of the histories of all tables in bytes; 0 means no limit
+	maxHistoryCost int64      // maximum total cost of the histories of all tables in bytes; 0 means no limit
 	keptSnapshots  []Snapshot // snapshots for clients that read a list in pages
 }
 
-// New returns an empty Store. The first change has a revision greater than base, and the history of each
-// table keeps up to historyLength changes. If each process passes a base that grows with time, the revisions
-// of a restarted process are greater than those of the process before it.
+// New returns an empty Store. All its revisions are greater than base, and the history of each table keeps
+// at most historyLength changes. If every process passes a base that grows with time, a restarted process
+// uses greater revisions than the process before it.
 func New(base int64, historyLength int) *Store { return NewBounded(base, historyLength, 0) }
 
-// NewBounded returns a Store like New and also limits the total cost of the histories of all tables to
-// maxHistoryCost bytes, as estimated by Cost. The histories then keep fewer changes if the objects are
-// large. A maxHistoryCost of 0 means no limit.
+// NewBounded returns a Store like New. In addition, it limits the total cost of the histories of all
+// tables to maxHistoryCost bytes, as estimated by Cost. The histories then keep fewer changes if the
+// objects are large. A maxHistoryCost of 0 means no limit.
 func NewBounded(base int64, historyLength int, maxHistoryCost int64) *Store {
 	s := &Store{revision: base, historyLength: max(historyLength, 1), maxHistoryCost: maxHistoryCost}
 	for i := range s.tables {
@@ -109,10 +110,10 @@
 // Revision returns the revision of the last change in any table.
 func (s *Store) Revision() int64 { return s.revision }
 
-// Key returns the key by which a table stores an object.
+// Key returns the key under which a table stores the object with the given namespace and name.
 func Key(namespace, name string) string { return namespace + "/" + name }
 
-// Get returns a stored object, or nil if there is none.
+// Get returns the stored object with the given name, or nil if there is none.
 func (s *Store) Get(resource Resource, namespace, name string) Object {
 	if change := s.LastChange(resource, namespace, name); change != nil {
 		return change.Object
@@ -120,19 +121,20 @@
 	return nil
 }
 
-// LastChange returns the last change of a stored object, or nil if the object is not stored.
+// LastChange returns the last change of a stored object, or nil if there is no stored object with the
+// given name.
 func (s *Store) LastChange(resource Resource, namespace, name string) *Change {
-	change, _ := s.tables[resource].objects.Get(Key(namespace, name)) // The result is nil if the key is not stored.
+	change, _ := s.tables[resource].objects.Get(Key(namespace, name)) // Get returns nil if the key is not stored.
 	return change
 }
 
 // Len returns the number of objects in a table.
 func (s *Store) Len(resource Resource) int { return s.tables[resource].objects.Len() }
 
-// Cost computes its estimate from these values, which make the estimate too high rather than too low.
+// Cost uses these values for its estimate. The estimate is too high rather than too low.
 const (
-	costPerObject = 2048 // bytes for an object in addition to its fields
-	costPerByte   = 5    // bytes for the fields and the cached encodings, per byte of the binary encoding
+	costPerObject = 2048 // number of bytes for an object in addition to its fields
+	costPerByte   = 5    // number of bytes for the fields and the cached encodings, per byte of the binary encoding
 )
 
 // Cost returns an upper estimate of the memory in bytes that a stored object and its cached encodings use.
@@ -144,7 +146,7 @@
 	return costPerObject + costPerByte*int64(size)
 }
 
-// ObjectCost returns the total cost of all stored objects in bytes.
+// ObjectCost returns the total cost of all stored objects in bytes, as estimated by Cost.
 func (s *Store) ObjectCost() (total int64) {
 	for i := range s.tables {
 		total += s.tables[i].objectCost
@@ -152,7 +154,8 @@
 	return total
 }
 
-// HistoryCost returns the total cost of all changes in the histories in bytes.
+// HistoryCost returns the total cost of the changes in the histories of all tables in bytes, as estimated
+// by Cost.
 func (s *Store) HistoryCost() (total int64) {
 	for i := range s.tables {
 		total += s.tables[i].historyCost
@@ -160,8 +163,8 @@
 	return total
 }
 
-// Put adds or replaces an object, sets its resource version and returns the revision of the change. The
-// caller must not modify the object afterwards.
+// Put adds or replaces an object, sets the resource version of the object, and returns the revision of the
+// change. The caller must not modify the object afterwards.
 func (s *Store) Put(resource Resource, object Object) int64 {
 	table := &s.tables[resource]
 	s.revision++
@@ -178,7 +181,7 @@
 	return s.revision
 }
 
-// Delete removes an object. It returns false if the object is not stored.
+// Delete removes the object with the given name. It returns false if there is no such object.
 func (s *Store) Delete(resource Resource, namespace, name string) bool {
 	table := &s.tables[resource]
 	previous, ok := table.objects.Delete(Key(namespace, name))
@@ -195,9 +198,9 @@
 	return true
 }
 
-// trimHistories drops old changes until the total cost of all histories is within its limit. It always drops
-// the oldest change of the history with the highest cost. Each history keeps its last change, because a watch
-// that has read all changes must not expire.
+// trimHistories drops old changes until the total cost of the histories of all tables is within its limit.
+// It always drops the oldest change of the history that has the highest cost at this time. Each history
+// keeps its last change, because a watch that has read all changes must not expire.
 func (s *Store) trimHistories() {
 	for s.maxHistoryCost > 0 && s.HistoryCost() > s.maxHistoryCost {
 		costliestTable := s.tableWithCostliestHistory()
@@ -208,8 +211,8 @@
 	}
 }
 
-// tableWithCostliestHistory returns the table whose history has the highest cost. It ignores histories with
-// fewer than two changes, and returns nil if there are no others.
+// tableWithCostliestHistory returns the table whose history has the highest cost. It considers only
+// histories with at least two changes, and returns nil if there are none.
 func (s *Store) tableWithCostliestHistory() *table {
 	var costliestTable *table
 	for i := range s.tables {
@@ -224,8 +227,9 @@
 	return costliestTable
 }
 
-// ChangesSince returns up to limit changes of a table that are newer than a revision, the oldest first. The
-// slice is valid until the next change of the store. The error is ErrExpired or ErrFuture.
+// ChangesSince returns the changes of a table that are newer than the given revision, the oldest change
+// first. It returns at most limit changes. The slice is valid until the next change of the store. A
+// possible error wraps ErrExpired or ErrFuture.
 func (s *Store) ChangesSince(resource Resource, revision int64, limit int) ([]*Change, error) {
 	table := &s.tables[resource]
 	if revision < table.lastDroppedRevision {
@@ -239,30 +243,31 @@
 
 // table holds the objects of one resource and the history of their changes.
 type table struct {
-	objects    btree.Map[string, *Change] // last change of each stored object by the object's Key
+	objects    btree.Map[string, *Change] // for the Key of each stored object, the last change of the object
 	objectCost int64                      // total cost of the stored objects in bytes
 
-	history             []*Change // changes in order of revision; entries before firstKeptIndex are nil
-	firstKeptIndex      int       // index in history of the oldest change that is kept
+	history             []*Change // changes in the order of their revisions; entries before firstKeptIndex are nil
+	firstKeptIndex      int       // index of the oldest kept change in history
 	historyCost         int64     // total cost of the kept changes in bytes
 	lastDroppedRevision int64     // revision of the last change that was dropped from the history
 }
 
 func (t *table) historyLength() int { return len(t.history) - t.firstKeptIndex }
 
-// appendChange appends a change to the history and then drops old changes until the history has at most
-// length changes.
+// appendChange appends a change to the history of the table. It then drops old changes until the history
+// has at most the given length.
 func (t *table) appendChange(change *Change, length int) {
 	t.history = append(t.history, change)
 	t.historyCost += change.cost
 	t.trimHistory(length)
 }
 
-// minCompaction is the number of entries for dropped changes that a history may have before the history is
-// copied without these entries to free their memory.
+// minCompaction limits how often a history is copied. A history starts with nil entries for dropped
+// changes. Copying removes these entries and frees their memory, but does not take place while their
+// number is at most minCompaction.
 const minCompaction = 1024
 
-// trimHistory drops the oldest changes until the history has at most length changes.
+// trimHistory drops the oldest changes until the history of the table has at most the given length.
 func (t *table) trimHistory(length int) {
 	for t.historyLength() > length {
 		droppedChange := t.history[t.firstKeptIndex]
@@ -277,8 +282,8 @@
 	}
 }
 
-// changesAfter returns up to limit changes that are newer than a revision, the oldest first. It finds the
-// oldest one by binary search.
+// changesAfter returns the changes in the history that are newer than the given revision, the oldest
+// change first. It returns at most limit changes. A binary search finds the oldest of these changes.
 func (t *table) changesAfter(revision int64, limit int) []*Change {
 	history := t.history[t.firstKeptIndex:]
 	if len(history) == 0 || history[len(history)-1].Revision <= revision {
