--- a/internal/kube/wellknown/dict.go
+++ b/internal/kube/wellknown/dict.go
@@ -8,17 +8,18 @@
 	"github.com/dunglas/httpsfv"
 )
 
-// Dict is a set of named numbers that is encoded as an RFC 9651 dictionary.
+// Dict is a set of numbers with names. Its encoding is an RFC 9651 dictionary.
 type Dict map[string]float64
 
-// Member is one named number of a Dict.
+// Member is one number of a Dict with its name.
 type Member struct {
 	Name  string
 	Value float64
 }
 
-// ParseDict parses an RFC 9651 dictionary. It skips members that are not numbers. The result for an empty
-// text is an empty Dict. If the text is not a dictionary, the error wraps the error of the RFC 9651 parser.
+// ParseDict parses an RFC 9651 dictionary. It skips members that are not numbers. For an empty text, it
+// returns an empty Dict. If the text is not a dictionary, ParseDict returns an error that wraps the error
+// of the RFC 9651 parser.
 func ParseDict(text string) (Dict, error) {
 	if text == "" {
 		return nil, nil
@@ -44,11 +45,12 @@
 	return numbers, nil
 }
 
-// dictDecimals is the number of decimal places of the numbers that FormatDict writes. RFC 9651 allows no
-// more.
+// dictDecimals is the number of decimal places that FormatDict writes for each number. RFC 9651 permits at
+// most three.
 const dictDecimals = 3
 
-// FormatDict formats named numbers as an RFC 9651 dictionary. It keeps the order of the numbers.
+// FormatDict formats named numbers as an RFC 9651 dictionary. The members of the dictionary have the same
+// order as the arguments.
 func FormatDict(members ...Member) string {
 	var text strings.Builder
 	for i, member := range members {
@@ -62,8 +64,8 @@
 	return text.String()
 }
 
-// FormatCapacity formats an amount of cores and memory as the value of an annotation Usage or FreeCapacity.
-// The unit of memory is GiB.
+// FormatCapacity formats a number of cores and an amount of memory in GiB as the value of the annotation
+// Usage or FreeCapacity.
 func FormatCapacity(cores, memory float64) string {
 	return FormatDict(Member{DictCores, cores}, Member{DictMemory, memory})
 }
--- a/internal/kube/wellknown/objects.go
+++ b/internal/kube/wellknown/objects.go
@@ -6,11 +6,11 @@
 	corev1 "k8s.io/api/core/v1"
 )
 
-// Gibibyte is the number of bytes in a GiB, the unit in which the scheduler counts memory.
+// Gibibyte is the number of bytes in a GiB. The scheduler states amounts of memory in GiB.
 const Gibibyte = 1 << 30
 
-// ResourceRequests returns the cores and the memory in GiB that a Pod requests. The requests of its
-// containers are added up. Init containers run one after another before the other containers, so only the
+// ResourceRequests returns the cores and the memory in GiB that a Pod requests. It adds up the requests of
+// the containers. The init containers run one after another before the other containers, so only the
 // largest of their requests counts.
 func ResourceRequests(spec *corev1.PodSpec) (cores, memory float64) {
 	for i := range spec.Containers {
@@ -26,8 +26,8 @@
 	return cores, memory
 }
 
-// containerRequests returns the cores and the memory in GiB that a container requests. A request that is
-// not set defaults to the limit of the resource.
+// containerRequests returns the cores and the memory in GiB that a container requests. If the container
+// sets no request for a resource, its limit for the resource takes the place of the request.
 func containerRequests(container *corev1.Container) (cores, memory float64) {
 	cpuRequest := container.Resources.Requests[corev1.ResourceCPU]
 	if cpuRequest.IsZero() {
@@ -52,13 +52,13 @@
 	return ""
 }
 
-// PodFinished reports whether a Pod has ended, with success or failure.
+// PodFinished reports whether a Pod has ended, either with success or with failure.
 func PodFinished(pod *corev1.Pod) bool {
 	return pod.Status.Phase == corev1.PodSucceeded || pod.Status.Phase == corev1.PodFailed
 }
 
-// NodeAddress returns the host and port of a node's API in the form host:port, or "" if the Node does not
-// state them.
+// NodeAddress returns the address of a node's API in the form host:port. It returns "" if the Node object
+// does not state the host or the port.
 func NodeAddress(node *corev1.Node) string {
 	port := node.Status.DaemonEndpoints.KubeletEndpoint.Port
 	for _, address := range node.Status.Addresses {
--- a/internal/kube/wellknown/timestamp.go
+++ b/internal/kube/wellknown/timestamp.go
@@ -10,10 +10,11 @@
 
 const microsecondsPerSecond = 1e6
 
-// timestampFormat is the RFC 3339 format with microseconds.
+// timestampFormat is the RFC 3339 format with microseconds, in the notation of package time.
 const timestampFormat = "2006-01-02T15:04:05.000000Z07:00"
 
-// ParseTimestamp returns an RFC 3339 timestamp as a Unix time, or 0 if the text is not a timestamp.
+// ParseTimestamp returns the Unix time that an RFC 3339 timestamp states. It returns 0 if the text is not
+// an RFC 3339 timestamp.
 func ParseTimestamp(text string) placer.Seconds {
 	parsed, err := time.Parse(time.RFC3339Nano, text)
 	if err != nil {
--- a/internal/kube/wellknown/wellknown.go
+++ b/internal/kube/wellknown/wellknown.go
@@ -1,9 +1,10 @@
-// Package wellknown defines the project's additions to the Kubernetes API: labels, annotations, conditions,
-// reasons and header fields. It formats and parses their values (dict.go, timestamp.go) and reads the parts
-// of API objects on which scheduling decisions depend (objects.go).
+// Package wellknown defines what the project adds to the Kubernetes API: labels, annotations, conditions,
+// reasons and header fields. The package also formats and parses the values of these additions (dict.go,
+// timestamp.go), and reads those parts of API objects on which scheduling decisions depend (objects.go).
 //
-// All packages that handle API objects use it. The texts are part of the wire protocol between schedulers,
-// nodes and clients and must not change. The package is pure.
+// All packages that handle API objects use this package. Schedulers, nodes and clients exchange the texts
+// that the package defines, so these texts must not change. The package uses no I/O, no clock and no
+// global state.
 package wellknown
 
 import corev1 "k8s.io/api/core/v1"
@@ -11,8 +12,8 @@
 // These are keys of labels. The comment of each key states which objects have the label.
 const (
 	Class           = "heathshed.io/class"                       // on Pod templates and Pods: names the task class
-	Service         = "heathshed.io/service"                     // on Pod templates and Pods: names the service of the task; the default is the name of the Job
-	Scheduler       = "heathshed.io/scheduler"                   // on Pods that a scheduler sends to nodes: names this scheduler
+	Service         = "heathshed.io/service"                     // on Pod templates and Pods: names the service of the task; the Job's name is the default
+	Scheduler       = "heathshed.io/scheduler"                   // on Pods that a scheduler sends to nodes: states the name of the scheduler
 	JobName         = "batch.kubernetes.io/job-name"             // on Pods: states the name of the Job
 	JobUID          = "batch.kubernetes.io/controller-uid"       // on Pods: states the UID of the Job
 	CompletionIndex = "batch.kubernetes.io/job-completion-index" // on Pods: states the completion index within the Job
@@ -24,7 +25,7 @@
 // These are keys of annotations. The comment of each key states which objects have the annotation.
 const (
 	OutcomeDeadline   = "heathshed.io/give-up-at" // on Pods: states the time until which the client waits for the final outcome
-	JobManifest       = "heathshed.io/job"        // on Pods that a scheduler sends to nodes: contains the Job as JSON; a restarted scheduler adopts the Pod with it
+	JobManifest       = "heathshed.io/job"        // on Pods that a scheduler sends to nodes: contains the Job as JSON for a restart of the scheduler
 	AttemptAnnotation = "heathshed.io/attempt"    // on Pods that a node reports: states the number of the attempt that the node accepted
 	Usage             = "heathshed.io/use"        // on Pods that a node reports: states the cores and the memory that the Pod uses, as an RFC 9651 dictionary
 	Lifetime          = "heathshed.io/lifetime"   // on Pods: states for how many seconds an emulated node runs the Pod
@@ -32,41 +33,44 @@
 	StartedAt         = "heathshed.io/started"    // on Nodes: states the time at which the node last started
 )
 
-// The dictionaries in the annotations Usage and FreeCapacity have members with these names. The unit of
-// memory is GiB.
+// The dictionaries in the annotations Usage and FreeCapacity have members with these names. The
+// dictionaries state memory in GiB.
 const (
 	DictCores  = "cores"
 	DictMemory = "memory"
 )
 
-// Settled is the type of the condition that a Pod or a Job gets once its outcome is final.
+// Settled is the type of the condition that a Pod gets once the outcome of its task is final. A Job gets
+// this condition once the outcomes of all its tasks are final.
 const Settled = "heathshed.io/Settled"
 
 // The Settled condition has one of these reasons.
 const (
-	Placed   = "Placed"  // a node accepted the task of the Pod; for a Job, nodes accepted all tasks
+	Placed   = "Placed"  // a node accepted the task of the Pod; for a Job, nodes accepted all of its tasks
 	Rejected = "Refused" // the task of the Pod certainly never ran; for a Job, none of its tasks ran
 	Failed   = "Failed"  // the outcome is neither Placed nor Rejected
 )
 
 // These are the names of HTTP header fields in requests and answers between schedulers and nodes.
 const (
-	AttemptHeader     = "Heathshed-Attempt" // states the number of the attempt among all attempts for the Pod
+	AttemptHeader     = "Heathshed-Attempt" // states the number of the attempt; all attempts for a Pod are counted together
 	LoadHeader        = "Heathshed-Load"    // contains the node's load report as an RFC 9651 dictionary
 	IncarnationHeader = "Heathshed-Boot"    // identifies the node's incarnation
 )
 
-// A node states one of these reasons for a Pod that it has rejected or that has ended. The kubelet states
-// reasons in the same way.
+// A node states one of these reasons for a Pod that the node has rejected or that has ended. The kubelet
+// states reasons in the same place.
 const (
-	OutOfCPU     = "OutOfcpu"       // the node rejected the Pod because too few cores are free
-	OutOfMemory  = "OutOfmemory"    // the node rejected the Pod because too little memory is free
-	QueueFull    = "TooManyWaiting" // the node rejected the Pod because too many Pods wait to start
-	WrongNode    = "NotHere"        // the node rejected the Pod because the node drains, the attempt was stopped, or the Pod is for another node
-	Evicted      = "Evicted"        // the node ended the Pod because the node ran out of memory
-	Preempted    = "Preempting"     // the node ended the Pod in favor of a Pod of higher priority
-	Drained      = "NodeShutdown"   // the node ended the Pod because the node is draining
-	NeverStarted = "NeverStarted"   // the Pod ended before its task ran
-	Stopped      = "Stopped"        // the node ended the Pod because of a stop order
-	NodeLost     = "NodeLost"       // stated by the scheduler, not by a node: the Pod was lost with its node or the node no longer reports it
+	OutOfCPU    = "OutOfcpu"       // the node rejected the Pod because too few cores are free
+	OutOfMemory = "OutOfmemory"    // the node rejected the Pod because too little memory is free
+	QueueFull   = "TooManyWaiting" // the node rejected the Pod because too many Pods wait to start
+	// A Pod is rejected with the reason WrongNode if the node is draining, if a stop order for the attempt
+	// arrived first, or if the Pod is for another node.
+	WrongNode    = "NotHere"
+	Evicted      = "Evicted"      // the node ended the Pod because the node ran out of memory
+	Preempted    = "Preempting"   // the node ended the Pod in favor of a Pod of higher priority
+	Drained      = "NodeShutdown" // the node ended the Pod because the node is draining
+	NeverStarted = "NeverStarted" // the Pod ended before its task ran
+	Stopped      = "Stopped"      // the node ended the Pod because of a stop order
+	NodeLost     = "NodeLost"     // stated by the scheduler, not by a node: the Pod was lost with its node or the node no longer reports it
 )
--- a/internal/kube/wellknown/wellknown_test.go
+++ b/internal/kube/wellknown/wellknown_test.go
@@ -8,7 +8,8 @@
 	"k8s.io/apimachinery/pkg/api/resource"
 )
 
-// TestTextsOnTheWire checks that the texts that programs of different versions exchange have not changed.
+// TestTextsOnTheWire checks that texts that schedulers, nodes and clients exchange have not changed.
+// Programs of different versions must be able to exchange them.
 func TestTextsOnTheWire(t *testing.T) {
 	for _, test := range []struct{ got, want string }{
 		{Class, "heathshed.io/class"},
@@ -50,7 +51,7 @@
 		{FormatTimestamp(1.8e9 + 0.25), "2027-01-15T08:00:00.250000Z"},
 	} {
 		if test.got != test.want {
-			t.Errorf("the text on the wire is %q, want %q", test.got, test.want)
+			t.Errorf("the text that programs exchange is %q, want %q", test.got, test.want)
 		}
 	}
 }
@@ -61,16 +62,16 @@
 		want       Dict
 		fails      bool
 	}{
-		{"empty text", "", nil, false},
-		{"decimal and integer members", "cores=0.5, memory=2", Dict{"cores": 0.5, "memory": 2}, false},
-		{"negative member", "cores=-1.250", Dict{"cores": -1.25}, false},
-		{"members that are not numbers", `cores=1, kind="large", busy, list=(1 2)`, Dict{"cores": 1}, false},
-		{"text that is not a dictionary", "cores=", nil, true},
+		{"empty text is an empty dictionary", "", nil, false},
+		{"decimal and integer members are parsed", "cores=0.5, memory=2", Dict{"cores": 0.5, "memory": 2}, false},
+		{"negative member is parsed", "cores=-1.250", Dict{"cores": -1.25}, false},
+		{"members that are not numbers are skipped", `cores=1, kind="large", busy, list=(1 2)`, Dict{"cores": 1}, false},
+		{"text that is not a dictionary is an error", "cores=", nil, true},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			got, err := ParseDict(test.text)
 			if (err != nil) != test.fails || !maps.Equal(got, test.want) {
-				t.Errorf("ParseDict returned %v and error %v, want %v", got, err, test.want)
+				t.Errorf("ParseDict returned the numbers %v and error %v, want the numbers %v and an error only for an invalid text", got, err, test.want)
 			}
 		})
 	}
@@ -79,13 +80,13 @@
 func TestTimestamps(t *testing.T) {
 	const seconds = 1.8e9 + 0.75
 	if got := ParseTimestamp(FormatTimestamp(seconds)); got != seconds {
-		t.Errorf("a timestamp that was formatted and parsed is %v, want %v", got, seconds)
+		t.Errorf("the Unix time is %v after it was formatted and parsed, want %v", got, seconds)
 	}
 	if got := ParseTimestamp("yesterday"); got != 0 {
 		t.Errorf("ParseTimestamp returned %v for an invalid timestamp, want 0", got)
 	}
 	if got := APITime(seconds).Unix(); got != 1.8e9 {
-		t.Errorf("APITime returned the Unix time %v, want the time rounded down to a whole second", got)
+		t.Errorf("APITime returned the Unix time %v, want the given time rounded down to a whole second", got)
 	}
 }
 
@@ -101,11 +102,11 @@
 		spec          corev1.PodSpec
 		cores, memory float64
 	}{
-		{"Pod without containers", corev1.PodSpec{}, 0, 0},
+		{"Pod without containers requests nothing", corev1.PodSpec{}, 0, 0},
 		{"requests of containers are added up", corev1.PodSpec{Containers: []corev1.Container{
 			container(resources("500m", "1Gi"), nil), container(resources("1", "512Mi"), nil)}}, 1.5, 1.5},
 		{"limits replace requests that are not set", corev1.PodSpec{Containers: []corev1.Container{container(nil, resources("2", "4Gi"))}}, 2, 4},
-		{"largest init container exceeds the other containers", corev1.PodSpec{
+		{"request of the largest init container exceeds that of the other containers", corev1.PodSpec{
 			Containers:     []corev1.Container{container(resources("1", "1Gi"), nil)},
 			InitContainers: []corev1.Container{container(resources("3", "512Mi"), nil), container(resources("2", "2Gi"), nil)},
 		}, 3, 2},
@@ -113,7 +114,7 @@
 		t.Run(test.name, func(t *testing.T) {
 			cores, memory := ResourceRequests(&test.spec)
 			if cores != test.cores || memory != test.memory {
-				t.Errorf("the Pod requests %v cores and %v GiB, want %v cores and %v GiB", cores, memory, test.cores, test.memory)
+				t.Errorf("ResourceRequests returned %v cores and %v GiB of memory, want %v cores and %v GiB", cores, memory, test.cores, test.memory)
 			}
 		})
 	}
