--- a/internal/kube/engine/job_indexes.go
+++ b/internal/kube/engine/job_indexes.go
@@ -50,7 +50,7 @@
 	transitions *transitionCheck
 
 	entries        []completionIndex
-	nextUnstarted  int // the index that takeNext considers next
+	nextUnstarted  int // number of the index that takeNext considers next
 	activeIndexes  int // number of indexes that have a task
 	succeededTasks int // number of tasks that succeeded
 	failedTasks    int // number of tasks that ended without success
--- a/internal/kube/engine/job_state.go
+++ b/internal/kube/engine/job_state.go
@@ -1,7 +1,7 @@
 package engine
 
 // jobProgress is the state of a Job on the way to its final condition. A Job may be suspended in any of
-// these states, which the field suspended of job records.
+// these states; the field job.suspended states whether it is suspended.
 type jobProgress uint8
 
 const (
--- a/internal/kube/engine/script_nodes_test.go
+++ b/internal/kube/engine/script_nodes_test.go
@@ -128,7 +128,7 @@
 		}
 		s.engine.PodChanged(s.now, node.name, pod, remove)
 	})
-	s.delayedCalls[len(s.delayedCalls)-1].incarnation = 0 // The call is made even if the scheduler restarts before.
+	s.delayedCalls[len(s.delayedCalls)-1].incarnation = 0 // A restart of the scheduler does not cancel the call.
 }
 
 // answerStop makes a node carry out or ignore a stop order at random, and schedules the answer of the
