--- a/internal/kube/engine/adoption.go
+++ b/internal/kube/engine/adoption.go
@@ -79,8 +79,7 @@
 const maxAttemptNumber = 1 << 30
 
 // attemptNumber returns the number of the attempt through which a node accepted a Pod. The node states
-// this number in an annotation of the Pod. If the annotation is missing or invalid, attemptNumber returns
-// 1.
+// this number in an annotation of the Pod. If the annotation is missing or invalid, the result is 1.
 func attemptNumber(pod *corev1.Pod) int {
 	number, _ := strconv.Atoi(pod.Annotations[wellknown.AttemptAnnotation])
 	return max(number, 1)
--- a/internal/kube/engine/attempt.go
+++ b/internal/kube/engine/attempt.go
@@ -85,11 +85,11 @@
 func (t *attemptTracker) start(action *placer.Action) {
 	request, node := t.requests.get(action.Task), t.nodes.getByID(action.Node)
 	if request == nil || node == nil || request.closed {
-		panic(fmt.Sprintf("engine: placer started an attempt for request %d on node %d, but the request is not open or the node is unknown", action.Task, action.Node))
+		panic(fmt.Sprintf("engine: the placer started an attempt for placement request %d on node %d, but the request is not open or the node is unknown", action.Task, action.Node))
 	}
 	task := request.task
 	if task.attempts.inFlightAttempt != nil || task.attempts.runningAttempt != nil {
-		panic(fmt.Sprintf("engine: placer started a second attempt for task %s while another one is in flight or running", task.uid))
+		panic(fmt.Sprintf("engine: the placer started a second attempt for task %s while another attempt is in flight or running", task.uid))
 	}
 	newAttempt := &attempt{
 		request:         request,
--- a/internal/kube/engine/config.go
+++ b/internal/kube/engine/config.go
@@ -59,13 +59,13 @@
 // validate returns an error for the first invalid setting.
 func (c *Config) validate() error {
 	if len(c.Classes) != len(c.Placer.Classes) {
-		return fmt.Errorf("engine: invalid configuration: %d class names for %d task classes", len(c.Classes), len(c.Placer.Classes))
+		return fmt.Errorf("engine: invalid configuration: there are %d names for %d task classes", len(c.Classes), len(c.Placer.Classes))
 	}
 	if len(c.NodeTypes) != len(c.Placer.NodeTypes) {
-		return fmt.Errorf("engine: invalid configuration: %d node type names for %d node types", len(c.NodeTypes), len(c.Placer.NodeTypes))
+		return fmt.Errorf("engine: invalid configuration: there are %d names for %d node types", len(c.NodeTypes), len(c.Placer.NodeTypes))
 	}
 	if c.DefaultClass < 0 || c.DefaultClass >= len(c.Classes) {
-		return fmt.Errorf("engine: invalid configuration: the default class has index %d, but there are %d task classes", c.DefaultClass, len(c.Classes))
+		return fmt.Errorf("engine: invalid configuration: the default task class has index %d, but there are %d task classes", c.DefaultClass, len(c.Classes))
 	}
 	return nil
 }
--- a/internal/kube/engine/effect.go
+++ b/internal/kube/engine/effect.go
@@ -27,7 +27,8 @@
 	WatchNode
 	// UnwatchNode tells the caller to end the watch that WatchNode started.
 	UnwatchNode
-	// RelistNodes asks the caller to list all nodes again, and to report the list with NodesListed.
+	// RelistNodes asks the caller to get a new full list of nodes from the inventory, and to report the
+	// list with NodesListed.
 	RelistNodes
 )
 
--- a/internal/kube/engine/engine.go
+++ b/internal/kube/engine/engine.go
@@ -2,10 +2,10 @@
 // attempts to place these tasks, and the nodes. Packages scheduler and simulation drive the engine: scheduler
 // with sockets, simulation in simulated time. Package api calls the engine for requests that change objects.
 //
-// The engine is deterministic. It does no I/O, reads no clock, starts no goroutines and has no global state.
-// Callers pass the time in Unix seconds, which must not decrease. After each call, the caller gets the
-// resulting effects from Ready and carries them out in order. The same calls at the same times produce the
-// same effects and the same stored objects.
+// The engine is deterministic. It does no I/O, reads no clock, starts no goroutines and has no global
+// state. Callers pass the time in Unix seconds to each call; this time must not decrease. After each call,
+// the caller gets the resulting effects from Ready and carries them out in order. The same calls at the
+// same times produce the same effects and the same stored objects.
 //
 // Package placer decides on which node a task is placed, and package retry decides when a placement request
 // is retried. The inventory is a server that lists all nodes. The engine reaches the nodes and the inventory
--- a/internal/kube/engine/node.go
+++ b/internal/kube/engine/node.go
@@ -31,7 +31,7 @@
 	pastIncarnations []string // earlier incarnations; a late message from one of them is no sign of a restart
 
 	runningTasks    map[types.UID]*task   // tasks that the node has accepted and that have not ended
-	unknownOutcomes map[*attempt]struct{} // attempts at the node whose outcome is unknown
+	unknownOutcomes map[*attempt]struct{} // attempts at the node that have an unknown outcome
 
 	drainRequested       bool              // set while API clients want the node to be drained
 	labelOverride        map[string]string // labels that an API client set last; nil if no API client has set labels
@@ -53,7 +53,7 @@
 	n.apiUpdatePending = true
 }
 
-// beginPublish records that the Node object is about to be published. It contains all changes that API
+// beginPublish records that the engine is about to publish the Node object with all changes that API
 // clients have requested. The given fingerprint belongs to the inventory's Node.
 func (n *node) beginPublish(fingerprint uint64) {
 	n.publishedFingerprint = fingerprint
@@ -79,8 +79,8 @@
 	delete(n.unknownOutcomes, resolvedAttempt)
 }
 
-// unresolvedAttempts returns the attempts at the node whose outcome is unknown. They are ordered by the
-// creation of their tasks. The attempts of one task are ordered by attempt number.
+// unresolvedAttempts returns the attempts at the node that have an unknown outcome. The attempts are
+// ordered by the creation of their tasks. The attempts of one task are ordered by attempt number.
 func (n *node) unresolvedAttempts() []*attempt {
 	attempts := make([]*attempt, 0, len(n.unknownOutcomes))
 	for attempt := range n.unknownOutcomes {
--- a/internal/kube/engine/request.go
+++ b/internal/kube/engine/request.go
@@ -44,7 +44,7 @@
 	pollTimer *timer // fires when the admission controller must be polled next
 }
 
-// get returns the placement request with the given ID, or nil if it is unknown.
+// get returns the placement request with the given ID, or nil if the table does not contain it.
 func (r *requestTable) get(id placer.TaskID) *placementRequest { return r.byID[id] }
 
 // add gives a placement request the next ID, adds it to the table, and makes it the current request of its
--- a/internal/kube/engine/script_test.go
+++ b/internal/kube/engine/script_test.go
@@ -99,8 +99,8 @@
 	s.delayedCalls = append(s.delayedCalls, delayedCall{s.now + delay, s.sequence, s.incarnation, call})
 }
 
-// recordState checks the invariants of the engine, records its effects and its changes of the store, and
-// carries out the effects.
+// recordState checks the invariants of the engine. It then records and carries out the pending effects,
+// and records the changes of the store.
 func (s *script) recordState() {
 	if err := s.engine.CheckInvariants(); err != nil {
 		s.t.Fatal(err)
@@ -190,7 +190,7 @@
 	return nil
 }
 
-// handleEffect carries out an effect of the engine.
+// handleEffect carries out an effect of the engine with the emulated nodes and the emulated inventory.
 func (s *script) handleEffect(effect engine.Effect) {
 	switch effect.Kind {
 	case engine.SendAttempt:
--- a/internal/kube/wellknown/wellknown.go
+++ b/internal/kube/wellknown/wellknown.go
@@ -24,13 +24,15 @@
 
 // These are keys of annotations. The comment of each key states which objects have the annotation.
 const (
-	OutcomeDeadline   = "heathshed.io/give-up-at" // on Pods: states the time until which the client waits for the final outcome
-	JobManifest       = "heathshed.io/job"        // on Pods that a scheduler sends to nodes: contains the Job as JSON for a restart of the scheduler
-	AttemptAnnotation = "heathshed.io/attempt"    // on Pods that a node reports: states the number of the attempt that the node accepted
-	Usage             = "heathshed.io/use"        // on Pods that a node reports: states the cores and the memory that the Pod uses, as an RFC 9651 dictionary
-	Lifetime          = "heathshed.io/lifetime"   // on Pods: states for how many seconds an emulated node runs the Pod
-	FreeCapacity      = "heathshed.io/free"       // on Nodes: states the cores and the memory that no Pod requests, as an RFC 9651 dictionary
-	StartedAt         = "heathshed.io/started"    // on Nodes: states the time at which the node last started
+	OutcomeDeadline = "heathshed.io/give-up-at" // on Pods: states the time until which the client waits for the final outcome
+	// JobManifest contains the Job of a Pod as JSON. A scheduler sets it on the Pods that it sends to nodes, and
+	// rebuilds the Job from it after a restart.
+	JobManifest       = "heathshed.io/job"
+	AttemptAnnotation = "heathshed.io/attempt"  // on Pods that a node reports: states the number of the attempt that the node accepted
+	Usage             = "heathshed.io/use"      // on Pods that a node reports: states the cores and the memory that the Pod uses, as an RFC 9651 dictionary
+	Lifetime          = "heathshed.io/lifetime" // on Pods: states for how many seconds an emulated node runs the Pod
+	FreeCapacity      = "heathshed.io/free"     // on Nodes: states the cores and the memory that no Pod requests, as an RFC 9651 dictionary
+	StartedAt         = "heathshed.io/started"  // on Nodes: states the time at which the node last started
 )
 
 // The dictionaries in the annotations Usage and FreeCapacity have members with these names. The
@@ -72,5 +74,7 @@
 	Drained      = "NodeShutdown" // the node ended the Pod because the node is draining
 	NeverStarted = "NeverStarted" // the Pod ended before its task ran
 	Stopped      = "Stopped"      // the node ended the Pod because of a stop order
-	NodeLost     = "NodeLost"     // stated by the scheduler, not by a node: the Pod was lost with its node or the node no longer reports it
+	// NodeLost is stated by the scheduler and not by a node. It means that the Pod was lost with its node, or that
+	// the node no longer reports the Pod.
+	NodeLost = "NodeLost"
 )
