--- a/internal/netio/eventloop/conn.go
+++ b/internal/netio/eventloop/conn.go
@@ -12,21 +12,22 @@
 	"golang.org/x/sys/unix"
 )
 
-// Errors that are passed to Handler.Closed when this side closes a connection.
+// These errors are passed to Handler.Closed when the local side closes a connection.
 var (
-	// ErrConnectTimeout means that a connection was not established within the timeout of Dial.
+	// ErrConnectTimeout means that a connection was not established within the timeout that was passed to
+	// Dial.
 	ErrConnectTimeout = errors.New("connect: timed out")
 	// ErrClosedLocally means that Close or CloseAfterFlush was called.
 	ErrClosedLocally = errors.New("connection closed locally")
 )
 
 const (
-	// DefaultMaxInputBytes is the default of Conn.MaxInputBytes.
+	// DefaultMaxInputBytes is the default value of Conn.MaxInputBytes.
 	DefaultMaxInputBytes = 4 << 20
 
 	// lingerTimeout limits how long a connection that has shut down its write side waits for the peer to
-	// close. Closing at once, while the peer still sends a request body, would cause a reset, and the peer
-	// could lose the response.
+	// close the connection. If the socket were closed at once while the peer still sends a request body,
+	// the kernel would reset the connection, and the peer could lose the response.
 	lingerTimeout = 500 * time.Millisecond
 )
 
@@ -34,20 +35,20 @@
 type Handler interface {
 	// Opened is called once, when a connection has been accepted or a dialed connection has been established.
 	Opened(c *Conn)
-	// Data receives all bytes that have not been consumed yet and returns how many of them it consumes. The
-	// slice is valid only during the call.
+	// Data is called with all received bytes that have not been consumed yet, and returns how many of them
+	// it consumes. The slice b is valid only during the call.
 	Data(c *Conn, b []byte) int
 	// Drained is called when all queued output has been written to the socket.
 	Drained(c *Conn)
-	// Closed is called once, after all other methods. err is io.EOF if the peer closed the connection
-	// without an error.
+	// Closed is called once, and no method is called after it. err is io.EOF if the peer closed the
+	// connection without an error.
 	Closed(c *Conn, err error)
 }
 
 // Conn is one non-blocking TCP connection. Its methods may be called only on the goroutine of the loop.
 type Conn struct {
-	// MaxInputBytes limits the unconsumed input. When the limit is exceeded, reading pauses until the
-	// handler resumes it.
+	// MaxInputBytes limits the unconsumed input. When the limit is exceeded, the loop stops reading from
+	// the socket until the handler calls SetReadPaused(false).
 	MaxInputBytes int
 
 	loop    *Loop
@@ -63,12 +64,12 @@
 	// output holds queued output. Its first outputSentBytes bytes have been written to the socket.
 	output          []byte
 	outputSentBytes int
-	// stateTimer limits the time that the connection dials or lingers. It is nil while the connection is
-	// open or closing.
+	// stateTimer closes the connection if it stays too long in a dialing state or in stateLingering. It is
+	// nil in stateOpen and stateClosing, which have no time limit.
 	stateTimer *Timer
 	state      connState
 
-	// The following conditions are independent of each other, and each can hold in several states.
+	// The following conditions are independent of each other, and each can hold in several values of state.
 
 	// countedAsAccepted reports that Loop.acceptedConns includes the connection.
 	countedAsAccepted bool
@@ -80,9 +81,11 @@
 	deliveringInput bool
 	// writeBlocked reports that the socket send buffer is full.
 	writeBlocked bool
-	// flushQueued reports that the connection is in Loop.flushQueue.
+	// flushQueued reports that the connection is in Loop.flushQueue, which means that its queued output is
+	// sent at the end of the iteration.
 	flushQueued bool
-	// redeliverQueued reports that the connection is in Loop.redeliverQueue.
+	// redeliverQueued reports that the connection is in Loop.redeliverQueue, which means that its
+	// unconsumed input will be passed to Handler.Data again.
 	redeliverQueued bool
 }
 
@@ -112,7 +115,8 @@
 	return c, nil
 }
 
-// addConn registers a socket with the loop. If that fails, it closes the socket.
+// addConn registers a socket with epoll and adds a connection for it to the loop. If that fails, it closes
+// the socket.
 func (l *Loop) addConn(fd int, events uint32, state connState) (*Conn, error) {
 	l.lastGeneration++
 	c := &Conn{loop: l, fd: fd, generation: l.lastGeneration, registeredEvents: events, state: state, MaxInputBytes: DefaultMaxInputBytes}
@@ -143,11 +147,12 @@
 // Closed reports whether the connection is closed.
 func (c *Conn) Closed() bool { return c.state == stateClosed }
 
-// ReadPaused reports whether reading is paused. In that case, bytes or a close from the peer may not have
-// been read yet.
+// ReadPaused reports whether reading is paused. While reading is paused, the peer may have sent bytes or
+// closed the connection without the loop having noticed.
 func (c *Conn) ReadPaused() bool { return c.readPaused }
 
-// SetReadPaused pauses or resumes reading. When reading resumes, unconsumed bytes are delivered again.
+// SetReadPaused pauses or resumes reading. When reading resumes, unconsumed bytes are passed to
+// Handler.Data again.
 func (c *Conn) SetReadPaused(paused bool) {
 	if c.state == stateClosed || c.readPaused == paused {
 		return
@@ -159,7 +164,8 @@
 	}
 }
 
-// RedeliverInput schedules unconsumed bytes to be delivered again in the next iteration of the loop.
+// RedeliverInput schedules unconsumed bytes to be passed to Handler.Data again, in the current iteration of
+// the loop or in the next one.
 func (c *Conn) RedeliverInput() {
 	if c.state == stateClosed || c.readPaused || c.redeliverQueued {
 		return
@@ -178,7 +184,8 @@
 // ErrClosedLocally.
 func (c *Conn) Close() { c.closeWithError(ErrClosedLocally) }
 
-// CloseAfterFlush closes the connection once queued output has been sent. Further output is discarded.
+// CloseAfterFlush closes the connection once queued output has been sent. Output that is written after this
+// call is discarded.
 func (c *Conn) CloseAfterFlush() {
 	switch c.state {
 	case stateDialing:
@@ -196,17 +203,17 @@
 }
 
 // shutdownWrite shuts down the write side of a closing connection and waits up to lingerTimeout for the
-// peer to close.
+// peer to close the connection.
 func (c *Conn) shutdownWrite() {
-	// Shutdown fails if the connection is broken or not established. Reading or dialing reports the same
-	// error.
+	// Shutdown fails if the connection is broken or not established. Its error is ignored, because reading
+	// or dialing reports the same one.
 	_ = unix.Shutdown(c.fd, unix.SHUT_WR)
 	if c.peerClosed {
 		c.closeWithError(ErrClosedLocally)
 		return
 	}
 	if c.state != stateClosing {
-		return // The connection lingers already, or it still dials and has a timer for that.
+		return // In stateLingering and in the dialing states, a timer is set already.
 	}
 	c.setState(stateLingering)
 	c.readPaused = false
@@ -230,7 +237,7 @@
 	c.handler.Closed(c, err)
 }
 
-// updateRegisteredEvents registers the events that the connection now waits for with epoll.
+// updateRegisteredEvents registers with epoll the events that the connection now waits for.
 func (c *Conn) updateRegisteredEvents() {
 	if c.state == stateClosed {
 		return
@@ -252,7 +259,7 @@
 	}
 }
 
-// handleReady handles a readiness event of epoll.
+// handleReady handles a readiness event that epoll has reported for the connection.
 func (c *Conn) handleReady(events uint32) {
 	if c.state.isDialing() {
 		c.finishDial()
@@ -273,7 +280,7 @@
 	}
 }
 
-// finishDial handles the result of connecting.
+// finishDial handles the outcome of Dial: the connection is established, or connecting has failed.
 func (c *Conn) finishDial() {
 	if err := socketError(c.fd); err != nil {
 		c.closeWithError(fmt.Errorf("connect %s: %w", c.peer, err))
@@ -293,7 +300,8 @@
 	}
 }
 
-// handleHangup handles a connection that failed or that both sides have closed.
+// handleHangup handles an error or hang-up event of epoll: the connection has failed, or both sides have
+// shut it down.
 func (c *Conn) handleHangup() {
 	err := socketError(c.fd)
 	switch {
--- a/internal/netio/eventloop/conn_io.go
+++ b/internal/netio/eventloop/conn_io.go
@@ -10,22 +10,23 @@
 )
 
 const (
-	// maxReadNowReads limits the reads in one call of ReadNow when the peer sends as fast as its data is
-	// read.
+	// maxReadNowReads limits the reads in one call of ReadNow. Without it, a peer that sends as fast as the
+	// loop reads could keep ReadNow from returning.
 	maxReadNowReads = 64
 
 	// minSentBytesToCompact is the number of sent bytes in the output buffer above which the unsent rest
-	// may be moved to its front.
+	// may be moved to the front of the buffer.
 	minSentBytesToCompact = 64 << 10
 
-	// maxUnusedOutputBytes is how much the output buffer of a connection whose peer reads slowly may exceed
-	// twice the size of its unsent content.
+	// maxUnusedOutputBytes limits the memory that an output buffer wastes while the peer reads slowly. If
+	// the capacity exceeds twice the number of unsent bytes by more than this, the buffer is replaced by a
+	// smaller one.
 	maxUnusedOutputBytes = 4 << 10
 )
 
-// ReadNow reads and delivers what the socket has received by now, including a close by the peer, rather
-// than only what it had received at the start of the iteration. It does nothing while Handler.Data of this
-// connection runs or reading is paused.
+// ReadNow reads what the socket has received by now, including a close by the peer, and passes it to the
+// handler. The loop itself reads only what epoll reported at the start of the iteration. ReadNow does
+// nothing while Handler.Data of this connection is running or reading is paused.
 func (c *Conn) ReadNow() {
 	for range maxReadNowReads {
 		if !c.canReadNow() || !c.readOnce() {
@@ -41,7 +42,8 @@
 	return !c.readPaused && !c.peerClosed && !c.deliveringInput
 }
 
-// readOnce reads at most one buffer of bytes, delivers them, and reports whether more may be available.
+// readOnce reads at most readBufferBytes from the socket, passes them to the handler, and reports whether
+// the socket may hold more.
 func (c *Conn) readOnce() bool {
 	n, err := unix.Read(c.fd, c.loop.readBuffer)
 	switch err {
@@ -75,8 +77,8 @@
 }
 
 // deliverInput passes the unconsumed bytes, followed by the received ones, to the handler and keeps those
-// that the handler does not consume. If it consumes all, the input buffer is released: idle connections
-// hold no input buffer.
+// that the handler does not consume. If the handler consumes all bytes, the input buffer is released,
+// because an idle connection should hold no input buffer.
 func (c *Conn) deliverInput(received []byte) {
 	if c.deliveringInput {
 		return
@@ -104,8 +106,8 @@
 	}
 }
 
-// keepUnconsumed stores the bytes that the handler did not consume. buffered reports that they are in the
-// input buffer of the connection already, rather than in the read buffer of the loop.
+// keepUnconsumed stores the bytes that the handler did not consume. buffered tells that these bytes are in
+// the input buffer of the connection already, rather than in the read buffer of the loop.
 func (c *Conn) keepUnconsumed(unconsumed []byte, buffered bool) {
 	switch {
 	case len(unconsumed) == 0:
@@ -117,7 +119,7 @@
 	}
 }
 
-// Write queues a copy of b. The loop sends queued output at the end of the iteration.
+// Write queues a copy of b as output. The loop sends queued output at the end of the iteration.
 func (c *Conn) Write(b []byte) {
 	if !c.state.acceptsOutput() {
 		return
@@ -157,8 +159,8 @@
 	}
 }
 
-// releaseOutputBuffer returns the output buffer to the loop for reuse: idle connections hold no output
-// buffer.
+// releaseOutputBuffer returns the output buffer to the loop, which reuses it for other connections. An idle
+// connection should hold no output buffer.
 func (c *Conn) releaseOutputBuffer() {
 	size := cap(c.output)
 	if size > 0 && size <= maxSpareBufferBytes && len(c.loop.spareOutputBuffers) < maxSpareBuffers {
@@ -175,8 +177,8 @@
 	c.loop.flushQueue = append(c.loop.flushQueue, c)
 }
 
-// Flush sends queued output now rather than at the end of the iteration. A caller that writes much to many
-// connections uses it to avoid holding all of that output in memory at once.
+// Flush sends queued output now rather than at the end of the iteration. A caller that writes much output
+// to many connections uses Flush to avoid holding all of that output in memory at once.
 func (c *Conn) Flush() {
 	if c.state == stateClosed || c.state.isDialing() {
 		return
@@ -228,7 +230,7 @@
 }
 
 // waitWritable makes the loop continue to write when the socket is writable again, and shrinks the output
-// buffer if most of it is unused.
+// buffer if most of its memory is unused.
 func (c *Conn) waitWritable() {
 	if !c.writeBlocked {
 		c.writeBlocked = true
--- a/internal/netio/eventloop/conn_state.go
+++ b/internal/netio/eventloop/conn_state.go
@@ -13,15 +13,15 @@
 	stateDialing connState = iota
 	// stateDialingThenClose means that CloseAfterFlush was called while the connection is being established.
 	stateDialingThenClose
-	// stateOpen means that the connection is established and reads and writes.
+	// stateOpen means that the connection is established, and data can be read and written.
 	stateOpen
-	// stateClosing means that CloseAfterFlush was called. Queued output is still sent; received bytes are
-	// discarded.
+	// stateClosing means that CloseAfterFlush was called. Queued output is still sent, and received bytes
+	// are discarded.
 	stateClosing
-	// stateLingering means that the write side is shut down and the connection waits for the peer to close.
-	// Received bytes are discarded.
+	// stateLingering means that the write side is shut down and the connection waits for the peer to close
+	// its side. Received bytes are discarded.
 	stateLingering
-	// stateClosed means that the descriptor is closed.
+	// stateClosed means that the socket is closed.
 	stateClosed
 )
 
@@ -41,14 +41,14 @@
 
 func (s connState) isDialing() bool { return s == stateDialing || s == stateDialingThenClose }
 
-// acceptsOutput reports whether further output may be queued.
+// acceptsOutput reports whether output may be queued in this state.
 func (s connState) acceptsOutput() bool { return s == stateDialing || s == stateOpen }
 
 // discardsInput reports whether received bytes are discarded because the connection is closing.
 func (s connState) discardsInput() bool { return s == stateClosing || s == stateLingering }
 
-// setState changes the state of the connection; no other code does. A transition that connTransitions does
-// not list is a bug in this package and panics.
+// setState changes the state of the connection. No other code may assign it. A transition that
+// connTransitions does not list is a bug in this package, and setState panics.
 func (c *Conn) setState(next connState) {
 	for _, allowed := range connTransitions[c.state] {
 		if next == allowed {
--- a/internal/netio/eventloop/eventloop.go
+++ b/internal/netio/eventloop/eventloop.go
@@ -1,10 +1,11 @@
 //go:build linux
 
-// Package eventloop implements a single-threaded event loop for Linux. It handles epoll readiness,
-// non-blocking TCP sockets, timers and posted functions, all on the goroutine that calls Run.
+// Package eventloop implements a single-threaded event loop for Linux. It handles epoll readiness events,
+// non-blocking TCP sockets, timers, and functions that other goroutines post, all on the goroutine that
+// calls Run.
 //
-// The package transfers bytes and does not interpret them. Of this module it imports only the clock and the
-// timer queue.
+// The package transfers bytes and does not interpret them. The only packages of this module that it imports
+// are the clock and the timer queue.
 package eventloop
 
 import (
@@ -25,7 +26,8 @@
 
 	// maxEpollEvents limits the ready descriptors that one call of epoll_wait returns.
 	maxEpollEvents = 256
-	// readBufferBytes limits the bytes of one read.
+	// readBufferBytes is the size of the buffer into which all sockets are read. It limits the bytes of one
+	// read.
 	readBufferBytes = 64 << 10
 	// maxSpareBufferBytes limits the capacity of an output buffer that is kept for reuse.
 	maxSpareBufferBytes = 64 << 10
@@ -41,8 +43,9 @@
 	epollFD int
 	// eventFD is an eventfd through which Post and Stop wake epoll_wait.
 	eventFD int
-	// reserveFD is a spare descriptor. When the process runs out of descriptors it is closed for a moment
-	// to accept and close a waiting connection. It is -1 if it could not be opened.
+	// reserveFD is a spare descriptor. When the process has no other descriptor left,
+	// rejectWithoutDescriptor closes reserveFD for a moment in order to accept and close a waiting
+	// connection. It is -1 if it could not be opened.
 	reserveFD int
 	// conns holds the open connections, indexed by descriptor.
 	conns []*Conn
@@ -60,12 +63,13 @@
 
 	// flushQueue holds the connections whose queued output is sent at the end of the iteration.
 	flushQueue []*Conn
-	// redeliverQueue holds the connections whose unconsumed input is delivered again.
+	// redeliverQueue holds the connections whose unconsumed input is to be passed to Handler.Data again.
 	redeliverQueue []*Conn
-	// iterationEndFuncs holds the functions that AtIterationEnd has queued.
+	// iterationEndFuncs holds the functions that were passed to AtIterationEnd and have not run yet.
 	iterationEndFuncs []func()
 	readBuffer        []byte
-	// spareOutputBuffers holds output buffers for reuse, released by connections that had nothing to send.
+	// spareOutputBuffers holds output buffers for reuse. Connections that have nothing to send release
+	// their buffer to it.
 	spareOutputBuffers [][]byte
 
 	// postMu guards postedFuncs and stopped, and keeps eventFD open while it is written.
@@ -73,12 +77,12 @@
 	postedFuncs []func()
 	stopped     bool
 
-	// Iterations counts the iterations of the loop, and ReadinessEvents the events that epoll_wait
+	// Iterations counts the iterations of the loop, and ReadinessEvents counts the events that epoll_wait
 	// returned. Both are exported for metrics.
 	Iterations, ReadinessEvents uint64
 }
 
-// New returns a loop that does not run yet. Run closes its descriptors when it ends.
+// New returns a loop that does not run yet. Run closes the descriptors of the loop when it returns.
 func New() (*Loop, error) {
 	epollFD, err := unix.EpollCreate1(unix.EPOLL_CLOEXEC)
 	if err != nil {
@@ -138,10 +142,10 @@
 }
 
 // AtIterationEnd queues f to run once at the end of the current iteration, after all events, timers and
-// redeliveries and before queued output is sent.
+// redelivered input have been handled and before queued output is sent.
 func (l *Loop) AtIterationEnd(f func()) { l.iterationEndFuncs = append(l.iterationEndFuncs, f) }
 
-// Stop makes Run return after the current iteration. It may be called from any goroutine.
+// Stop makes Run return after the current iteration of the loop. It may be called from any goroutine.
 func (l *Loop) Stop() {
 	l.postMu.Lock()
 	defer l.postMu.Unlock()
@@ -153,17 +157,17 @@
 }
 
 // wakeSignal is the number that wakeEpollWait adds to the counter of the eventfd. Any number but zero makes
-// it readable.
+// the eventfd readable.
 var wakeSignal = []byte{1, 0, 0, 0, 0, 0, 0, 0}
 
-// wakeEpollWait interrupts epoll_wait in Run. The caller must hold postMu, which keeps the descriptor from
-// being closed.
+// wakeEpollWait interrupts epoll_wait in Run. The caller must hold postMu, because close may close the
+// eventfd as soon as postMu is free.
 func (l *Loop) wakeEpollWait() {
 	// Write fails only if the counter is at its maximum. The eventfd is readable in that case too.
 	_, _ = unix.Write(l.eventFD, wakeSignal)
 }
 
-// clearWakeup resets the counter of the eventfd, so that it is no longer readable.
+// clearWakeup resets the counter of the eventfd, which makes the eventfd unreadable until the next wakeup.
 func (l *Loop) clearWakeup() {
 	var counter [8]byte
 	// Read fails only if the counter is zero already.
@@ -279,8 +283,8 @@
 	}
 }
 
-// runIterationEndFuncs runs the queued functions. Functions that these add run at the end of the next
-// iteration.
+// runIterationEndFuncs runs the queued functions. Functions that are added while these run are run at the
+// end of the next iteration.
 func (l *Loop) runIterationEndFuncs() {
 	for n := len(l.iterationEndFuncs); n > 0; n-- {
 		f := l.iterationEndFuncs[0]
@@ -289,8 +293,8 @@
 	}
 }
 
-// flushAll sends all queued output. It runs once per iteration, which sends the responses to pipelined
-// requests with one system call.
+// flushAll sends all queued output. It runs once per iteration, and the responses to pipelined requests are
+// then sent with one system call.
 func (l *Loop) flushAll() {
 	for len(l.flushQueue) > 0 {
 		queue := l.flushQueue
--- a/internal/netio/eventloop/eventloop_test.go
+++ b/internal/netio/eventloop/eventloop_test.go
@@ -30,8 +30,8 @@
 	return loop
 }
 
-// startLoop runs the loop in the background until stop is called. stop fails the test if the loop ended
-// with an error.
+// startLoop runs the loop in the background until stop is called. stop fails the test if Run returned an
+// error.
 func startLoop(t *testing.T, loop *Loop) (stop func()) {
 	t.Helper()
 	done := make(chan error, 1)
@@ -55,14 +55,15 @@
 	return conn
 }
 
-// sendAll writes b and shuts down the write side. The caller checks which bytes come back.
+// sendAll writes b to the connection and shuts down the write side. The caller checks which bytes come
+// back.
 func sendAll(t *testing.T, conn net.Conn, b []byte) {
 	t.Helper()
 	if _, err := conn.Write(b); err != nil {
-		t.Errorf("write to the connection: %v", err)
+		t.Errorf("writing to the connection failed: %v", err)
 	}
 	if err := conn.(*net.TCPConn).CloseWrite(); err != nil {
-		t.Errorf("shut down the write side: %v", err)
+		t.Errorf("shutting down the write side of the connection failed: %v", err)
 	}
 }
 
@@ -82,11 +83,11 @@
 	go sendAll(t, conn, sent)
 	got, err := io.ReadAll(conn)
 	if err != nil || string(got) != string(sent[:len(got)]) {
-		t.Fatalf("received an echo of %d bytes with error %v; want the bytes that were sent and no error", len(got), err)
+		t.Fatalf("received an echo of %d bytes and error %v; want bytes equal to those that were sent, and no error", len(got), err)
 	}
 	// The error must be io.EOF itself, not an error that wraps it.
 	if err := <-closeErrors; !errors.Is(err, io.EOF) || errors.Unwrap(err) != nil {
-		t.Errorf("the connection was closed with error %v, want io.EOF", err)
+		t.Errorf("Handler.Closed received error %v, want io.EOF itself because the client closed the connection", err)
 	}
 	timerOrder := make(chan int, 10)
 	var stoppedTimerRuns atomic.Int32
@@ -98,14 +99,14 @@
 	})
 	for want := 1; want <= 3; want++ {
 		if got := <-timerOrder; got != want {
-			t.Errorf("timer %d ran, want timer %d", got, want)
+			t.Errorf("timer %d ran, want timer %d because timers run in the order of their due times", got, want)
 		}
 	}
 	if stoppedTimerRuns.Load() != 0 {
-		t.Error("a timer ran although it had been stopped")
+		t.Error("a timer ran although Timer.Stop had been called on it")
 	}
 	stop()
-	loop.Post(func() { t.Error("a posted function ran after the loop had stopped") })
+	loop.Post(func() { t.Error("a function ran that was posted after the loop had stopped") })
 }
 
 func TestConnectionLimitAndDialErrors(t *testing.T) {
@@ -120,11 +121,11 @@
 		dialErrors <- err
 	}
 	if _, err := loop.Dial("host:1", time.Second, &echoHandler{}); err == nil {
-		t.Error("Dial accepted a host name, want an error because it takes only literal addresses")
+		t.Error("Dial accepted the host name in host:1, want an error because Dial takes only literal IP addresses")
 	}
 	stop := startLoop(t, loop)
 	if err := <-dialErrors; err == nil || errors.Is(err, io.EOF) {
-		t.Errorf("dial of a port where nothing listens: error %v, want an error other than io.EOF", err)
+		t.Errorf("dialing a port where nothing listens ended with error %v, want an error other than io.EOF", err)
 	}
 	rejected := 0
 	for range 5 {
@@ -133,7 +134,7 @@
 		}
 	}
 	if rejected != 3 {
-		t.Errorf("%d of 5 connections were rejected with a limit of 2, want 3", rejected)
+		t.Errorf("%d of 5 connections were closed without an echo at a limit of 2 open connections, want 3", rejected)
 	}
 	stop()
 }
@@ -151,8 +152,8 @@
 	return listener.Addr().String()
 }
 
-// receivesEcho reports whether a byte that is sent on the connection comes back, rather than the connection
-// being closed.
+// receivesEcho sends a byte on the connection and reports whether the byte comes back. It reports false if
+// the connection is closed instead.
 func receivesEcho(t *testing.T, conn net.Conn) bool {
 	t.Helper()
 	if err := conn.SetReadDeadline(time.Now().Add(readTimeout)); err != nil {
@@ -165,8 +166,8 @@
 	return err == nil
 }
 
-// TestConnStates checks that a connection makes the transitions of the table and no others, and that no
-// transition leaves the closed state.
+// TestConnStates checks that setState makes the transitions that the table in this test lists and panics at
+// all others. No transition leaves the closed state.
 func TestConnStates(t *testing.T) {
 	allowed := map[connState][]connState{
 		stateDialing:          {stateDialingThenClose, stateOpen, stateClosed},
@@ -183,13 +184,13 @@
 				want = want || next == to
 			}
 			if got := transitionAllowed(from, to); got != want {
-				t.Errorf("transition from state %s to %s: allowed %t, want %t", from, to, got, want)
+				t.Errorf("setState allows a transition from state %q to state %q: %t, want %t", from, to, got, want)
 			}
 		}
 	}
 }
 
-// transitionAllowed reports whether setState makes the transition without a panic.
+// transitionAllowed reports whether setState makes a transition without a panic.
 func transitionAllowed(from, to connState) (allowed bool) {
 	defer func() { allowed = recover() == nil }()
 	(&Conn{state: from}).setState(to)
--- a/internal/netio/eventloop/listener.go
+++ b/internal/netio/eventloop/listener.go
@@ -14,7 +14,8 @@
 	listenBacklog = 4096
 	// maxAcceptBatch limits the connections that are accepted for one readiness event.
 	maxAcceptBatch = 64
-	// socketSendBufferBytes is the SO_SNDBUF of accepted connections. The kernel doubles it.
+	// socketSendBufferBytes is the value of the socket option SO_SNDBUF for accepted connections. The
+	// kernel doubles this value.
 	socketSendBufferBytes = 128 << 10
 )
 
@@ -62,15 +63,15 @@
 	return unix.Listen(fd, listenBacklog)
 }
 
-// Addr returns the address of the listener. If it was opened with port 0, this has the port that the kernel
-// chose.
+// Addr returns the address of the listener. If the listener was opened with port 0, the address contains
+// the port that the kernel chose.
 func (ln *Listener) Addr() string { return ln.addr.String() }
 
 // Closed reports whether the listener is closed.
 func (ln *Listener) Closed() bool { return ln.loop.listeners[ln.fd] != ln }
 
-// Close stops accepting connections. The kernel resets connections that have not been accepted yet: see
-// AcceptPending.
+// Close stops accepting connections. The kernel then resets the connections that have not been accepted
+// yet. A call of AcceptPending before Close prevents this.
 func (ln *Listener) Close() {
 	if ln.Closed() {
 		return
@@ -92,9 +93,10 @@
 // accept accepts one batch of connections and reports whether more may be waiting.
 func (ln *Listener) accept() bool {
 	l := ln.loop
-	// With a low connection limit, the batch is smaller than the limit. A handler that closes idle
-	// connections to make room for new ones must first be able to read from the earlier ones; otherwise
-	// connections that send nothing could take all places within one iteration.
+	// A batch holds at most a quarter of the connection limit. When the limit is near, handlers may close
+	// idle connections to make room for new ones. They can tell which connections are idle only after the
+	// loop has read from them, which happens between two batches. Without this bound, connections that send
+	// nothing could use up the whole limit within one iteration.
 	for range min(maxAcceptBatch, max(l.maxConns/4, 1)) {
 		fd, peer, err := unix.Accept4(ln.fd, unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC)
 		switch err {
@@ -125,7 +127,7 @@
 	setSendBuffer(fd, socketSendBufferBytes)
 	c, err := l.addConn(fd, unix.EPOLLIN|unix.EPOLLRDHUP, stateOpen)
 	if err != nil {
-		return // addConn has closed the socket, and no handler exists yet that would have to be told.
+		return // addConn has closed the socket, and there is no handler yet to notify.
 	}
 	c.countedAsAccepted = true
 	c.peer = addrPort(peer)
@@ -135,9 +137,9 @@
 }
 
 // rejectWithoutDescriptor accepts and closes one waiting connection when the process has no descriptor
-// left. Otherwise the waiting connection would keep the listener readable and the loop would spin. The
-// reserve descriptor is closed for a moment to make this possible. It reports false if there is no reserve
-// descriptor.
+// left. Without this, the waiting connection would keep the listener readable, and the loop would iterate
+// without pause. The method closes the reserve descriptor for a moment, which frees the descriptor that
+// accepting needs. It reports false if there is no reserve descriptor.
 func (l *Loop) rejectWithoutDescriptor(listenerFD int) bool {
 	if l.reserveFD < 0 {
 		return false
--- a/internal/netio/eventloop/socket.go
+++ b/internal/netio/eventloop/socket.go
@@ -13,7 +13,7 @@
 }
 
 // closeFD closes a descriptor. It ignores the error because Linux releases the descriptor in any case, and
-// the package opens no files whose data could fail to reach a disk.
+// none of the descriptors of this package is a file whose data could be lost.
 func closeFD(fd int) { _ = unix.Close(fd) }
 
 // setNoDelay disables Nagle's algorithm. It ignores the error because the connection works without the
@@ -21,11 +21,11 @@
 func setNoDelay(fd int) { _ = unix.SetsockoptInt(fd, unix.IPPROTO_TCP, unix.TCP_NODELAY, 1) }
 
 // setReuseAddr lets a restarted process listen at the address of its predecessor at once. It ignores the
-// error because Bind reports the consequence.
+// error because Bind fails if the address is still in use.
 func setReuseAddr(fd int) { _ = unix.SetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_REUSEADDR, 1) }
 
-// setSendBuffer limits the kernel memory that a peer which does not read can occupy. If it fails, the
-// default limit of the kernel applies.
+// setSendBuffer limits the kernel memory for sent data that a slow peer has not read yet. If setting the
+// limit fails, the default limit of the kernel applies.
 func setSendBuffer(fd, bytes int) { _ = unix.SetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_SNDBUF, bytes) }
 
 // socketError returns and clears the pending error of a socket, or returns nil if there is none.
