--- a/internal/netio/sse/characterization_test.go
+++ b/internal/netio/sse/characterization_test.go
@@ -12,19 +12,21 @@
 	"heathshed/internal/testsupport/goldentest"
 )
 
-// TestCharacterization compares the events of fixed streams, split at every position, and of streams from
-// seeded random input with the golden file. Package goldentest describes how to regenerate the file.
+// TestCharacterization compares decoded events with the golden file. It decodes fixed streams with and
+// without size limits, and streams that are generated from random seeds. It also checks that the events of
+// a fixed stream are the same wherever the stream is split. Package goldentest describes how to regenerate
+// the file.
 func TestCharacterization(t *testing.T) {
 	record := goldentest.NewRecorder()
 	for i, stream := range sampleStreams {
 		unsplit := decode(0, stream)
 		for splitAt := range len(stream) + 1 {
 			if got := decode(0, stream[:splitAt], stream[splitAt:]); got != unsplit {
-				t.Errorf("stream %d split at byte %d: got %q, want %q as without the split", i, splitAt, got, unsplit)
+				t.Errorf("sampleStreams[%d] split at byte %d decodes to %q, want %q as without the split", i, splitAt, got, unsplit)
 			}
 		}
 		if got := decode(0, singleBytes(stream)...); got != unsplit {
-			t.Errorf("stream %d written byte by byte: got %q, want %q as in one piece", i, got, unsplit)
+			t.Errorf("sampleStreams[%d] written byte by byte decodes to %q, want %q as in one piece", i, got, unsplit)
 		}
 		record.Line("stream %d %q", i, unsplit)
 		for limit := 1; limit < 40; limit++ {
@@ -51,8 +53,9 @@
 	"retry: 100\nunknown: 5\ndata: r\n\n", "event: e\n\ndata: s\n\n", "data: unfinished", "data: unfinished\n", "data\n\n", "data:\n\n", "\n\n\r\n\n\rdata: t\n\n",
 	"Data: u\n\n", " data: v\n\n", "data: \xff\xc3\x00\n\n", "data:\ta\n\n", "data: a\n\r\n\rdata: b\r\n\n"}
 
-// decode writes the pieces to a decoder with the given size limit. It returns the events, whether any write
-// failed and the number of comment lines as one text.
+// decode writes the pieces to a decoder with the given size limit, where 0 stands for the default limit. It
+// returns one text that contains the events, whether any call of Write failed, and the number of comment
+// lines.
 func decode(limit int, pieces ...string) string {
 	decoder := sse.Decoder{MaxEventBytes: limit}
 	var output strings.Builder
@@ -79,7 +82,8 @@
 	return decode(0, pieces...) + decode(50, pieces...) + decode(200, strings.Join(pieces, ""))
 }
 
-// decodeAtDefaultLimit decodes an event of exactly the default limit and one that is a byte larger.
+// decodeAtDefaultLimit decodes an event whose size is exactly the default limit and an event that is one
+// byte larger.
 func decodeAtDefaultLimit() string {
 	const size = 4 << 20
 	field, end := "data:", "\n\ndata: next\n\n"
--- a/internal/netio/sse/sse.go
+++ b/internal/netio/sse/sse.go
@@ -1,9 +1,9 @@
 // Package sse decodes server-sent events (media type text/event-stream, defined by the WHATWG HTML
-// specification). The input may be split at any byte.
+// specification). The input stream may be passed to the decoder in pieces that are split at any byte.
 //
 // The decoder turns bytes into events without any I/O. It uses neither sockets nor a clock, and the package
 // imports no other package of this module. An event that is still incomplete at the end of the stream is
-// never emitted.
+// discarded.
 package sse
 
 import (
@@ -15,23 +15,26 @@
 	// DefaultMaxEventBytes is the default limit on the size of one event, including its field names.
 	DefaultMaxEventBytes = 4 << 20
 
-	// maxKeptLineBytes is the largest capacity with which the line buffer is kept for the next event.
+	// maxKeptLineBytes is the largest capacity of the line buffer that the decoder keeps for the next
+	// event. A larger buffer is released.
 	maxKeptLineBytes = 64 << 10
 	byteOrderMark    = "\xef\xbb\xbf"
 	defaultEventType = "message"
 	commentPrefix    = ':'
 	fieldSeparator   = ":"
-	// fieldValuePrefix is removed once from the front of a field value.
+	// fieldValuePrefix is the optional space after the colon. It is removed once from the front of a field
+	// value.
 	fieldValuePrefix = " "
 )
 
-// ErrTooLarge is returned when an event exceeds the size limit. The decoder cannot continue after it.
+// ErrTooLarge is returned when an event exceeds the size limit. The decoder cannot continue after this
+// error.
 var ErrTooLarge = errors.New("event stream: event too large")
 
-// Event is one event of the stream.
+// Event is one server-sent event.
 type Event struct {
-	// LastEventID is the most recent value of the id field in the stream. Later events keep it until the
-	// field is set again.
+	// LastEventID is the most recent value of the id field in the stream. It applies to all later events
+	// until another id field follows.
 	LastEventID string
 	// Type is the value of the event field, or "message" if the event has no such field.
 	Type string
@@ -42,17 +45,17 @@
 type Decoder struct {
 	// MaxEventBytes limits the size of one event. If it is 0, DefaultMaxEventBytes applies.
 	MaxEventBytes int
-	// CommentLines counts the comment lines that were decoded.
+	// CommentLines counts the comment lines that the decoder has skipped.
 	CommentLines uint64
 
-	// The following fields hold for the whole stream.
+	// The following fields describe the whole stream.
 
-	// bomBytesMatched counts the bytes of a byte order mark that have been read.
+	// bomBytesMatched counts the bytes at the start of the stream that match a byte order mark.
 	bomBytesMatched int
 	// bomChecked reports that the start of the stream has been checked for a byte order mark.
 	bomChecked bool
-	// skipNextLF reports that the last line ended with a carriage return: a line feed that follows belongs
-	// to that line end.
+	// skipNextLF reports that the last byte was a carriage return, which ended a line. If a line feed
+	// follows, it belongs to the same line end and is skipped.
 	skipNextLF  bool
 	lastEventID string
 	err         error
@@ -63,11 +66,12 @@
 	data      strings.Builder
 	hasData   bool
 	eventType string
-	// eventBytes is the size of the event so far. Comment lines do not count.
+	// eventBytes is the number of bytes of the event that have been read, not counting line ends and
+	// comment lines.
 	eventBytes int
 }
 
-// Write decodes the next bytes of the stream and calls emit for each event that they complete. After an
+// Write decodes the next bytes of the stream and calls emit with each event that they complete. After an
 // error, every further call returns the same error.
 func (d *Decoder) Write(b []byte, emit func(Event)) error {
 	if d.err != nil {
@@ -109,8 +113,10 @@
 	d.data = strings.Builder{}
 }
 
-// matchByteOrderMark reports whether c continues a byte order mark at the very start of the stream, which
-// is skipped. Otherwise the bytes that matched so far become the start of the first line.
+// matchByteOrderMark compares c, a byte at the start of the stream, with the next byte of a byte order
+// mark. If the bytes are equal, it returns true and the caller skips c. If they differ, the stream has no
+// byte order mark. The bytes that have matched so far then belong to the first line, and matchByteOrderMark
+// returns false.
 func (d *Decoder) matchByteOrderMark(c byte) bool {
 	if c == byteOrderMark[d.bomBytesMatched] {
 		d.bomBytesMatched++
@@ -130,8 +136,8 @@
 		d.dispatchEvent(emit)
 	case line[0] == commentPrefix:
 		d.CommentLines++
-		// Comment lines do not count against the size limit, since a long run of comments is not a large
-		// event.
+		// Comment lines do not count toward the size limit, because many short comment lines do not make an
+		// event large.
 		d.eventBytes -= len(line)
 	default:
 		name, value, _ := strings.Cut(string(line), fieldSeparator)
@@ -139,7 +145,7 @@
 	}
 }
 
-// dispatchEvent emits the event if it has data and resets the decoder for the next one.
+// dispatchEvent passes the decoded event to emit if it has data, and resets the decoder for the next event.
 func (d *Decoder) dispatchEvent(emit func(Event)) {
 	if d.hasData {
 		event := Event{LastEventID: d.lastEventID, Type: d.eventType, Data: d.data.String()}
