--- a/internal/netio/httpd/bench_test.go
+++ b/internal/netio/httpd/bench_test.go
@@ -20,7 +20,8 @@
 
 var responseBody = []byte(`{"kind":"Status","status":"Success"}`)
 
-// startHeathshed starts a server of this package. It sends the same response as the server of startNetHTTP.
+// startHeathshed starts a server of this package. It sends the same response body as the server that
+// startNetHTTP starts.
 func startHeathshed(tb testing.TB) (addr string, stop func()) {
 	tb.Helper()
 	loop := looptest.New(tb)
@@ -33,7 +34,7 @@
 	return server.Addr(), looptest.Run(tb, loop)
 }
 
-// startNetHTTP starts a server of the standard library.
+// startNetHTTP starts a server of the package net/http of the standard library.
 func startNetHTTP(tb testing.TB) (addr string, stop func()) {
 	tb.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -60,8 +61,8 @@
 	return listener.Addr().String(), stop
 }
 
-// BenchmarkRequests sends requests over 16 connections to each server with the same client. Each connection
-// sends either one request at a time or 16 pipelined requests.
+// BenchmarkRequests compares the request rates of both servers. The same client sends requests over 16
+// connections to each server. Each connection sends either one request at a time or 16 pipelined requests.
 func BenchmarkRequests(b *testing.B) {
 	for _, depth := range []int{1, 16} {
 		for name, start := range map[string]func(testing.TB) (string, func()){"heathshed": startHeathshed, "net-http": startNetHTTP} {
@@ -88,8 +89,8 @@
 	}
 }
 
-// sendPipelinedRequests opens a connection and writes the pipelined requests to it count times. After each
-// write it reads depth responses.
+// sendPipelinedRequests opens a connection and writes requests, which holds depth pipelined requests, to it
+// count times. After each write, it reads depth responses.
 func sendPipelinedRequests(addr string, requests []byte, count, depth int) error {
 	conn, err := net.Dial("tcp", addr)
 	if err != nil {
@@ -124,8 +125,8 @@
 	}
 }
 
-// BenchmarkIdleConnections measures the memory that a server holds for an idle connection after one request
-// on it.
+// BenchmarkIdleConnections measures how much memory each server holds for a connection that has been idle
+// since its first request.
 func BenchmarkIdleConnections(b *testing.B) {
 	for name, start := range map[string]func(testing.TB) (string, func()){"heathshed": startHeathshed, "net-http": startNetHTTP} {
 		b.Run(name, func(b *testing.B) {
--- a/internal/netio/httpd/conn.go
+++ b/internal/netio/httpd/conn.go
@@ -12,11 +12,13 @@
 )
 
 const (
-	// minTimerDelay is the least time between two checks of the time limits of a connection.
+	// minTimerDelay is the minimum time between two checks of the time limits of a connection.
 	minTimerDelay = 50 * time.Millisecond
-	// maxUnreadBytesAfterHead is the input that may be buffered in addition to a head of the largest size.
+	// maxUnreadBytesAfterHead is the number of input bytes that a connection may buffer in addition to a
+	// request head of the maximum size.
 	maxUnreadBytesAfterHead = 64 << 10
-	// maxKeptBodyBytes is the largest capacity with which a body buffer is kept for the next request.
+	// maxKeptBodyBytes is the largest capacity of a request body buffer that a connection keeps for its
+	// next request. A larger buffer is released.
 	maxKeptBodyBytes = 4 << 10
 )
 
@@ -35,7 +37,9 @@
 
 	// requestStartedAt is the time at which the first byte of the current request was received.
 	requestStartedAt clock.Instant
-	// lastProgressAt is the time at which the client last received output or completed a request.
+	// lastProgressAt is the last time at which the queued output had been sent completely, a request had
+	// been received completely, or a response had been completed. Until the first such event, it is the
+	// time at which the connection was opened.
 	lastProgressAt     clock.Instant
 	closeAfterResponse bool
 }
@@ -73,8 +77,8 @@
 	c.reportMemoryUse()
 }
 
-// Closed implements eventloop.Handler. It ignores the error, because every cause is handled in the same
-// way.
+// Closed implements eventloop.Handler. It ignores the error, because the connection is cleaned up in the
+// same way whatever the cause.
 func (c *conn) Closed(*eventloop.Conn, error) {
 	s := c.server
 	c.deadlineTimer.Stop()
@@ -92,15 +96,15 @@
 	}
 }
 
-// readRequests decodes requests from input, passes them to the handler, and returns how many bytes it
-// consumed.
+// readRequests decodes requests from input, passes each complete request to the handler, and returns how
+// many bytes of input it consumed.
 func (c *conn) readRequests(input []byte) int {
 	consumed := 0
 	for c.state.acceptsRequestBytes() {
 		if c.state == stateIdle {
 			if c.transport.UnsentBytes() > c.server.options.OutputHighWaterMark {
-				// The client sends requests faster than it reads the responses. The next request waits
-				// until the responses have been sent.
+				// The client sends requests faster than it reads responses. The next request is not read
+				// until the queued responses have been sent.
 				c.transport.SetReadPaused(true)
 				return consumed
 			}
@@ -134,7 +138,7 @@
 	return consumed
 }
 
-// handleDecoderEvent handles the part of a request that the decoder has completed.
+// handleDecoderEvent handles the part of a request that the decoder has just decoded.
 func (c *conn) handleDecoderEvent(event http1.Event) {
 	e := &c.exchange
 	switch event {
@@ -158,7 +162,8 @@
 	}
 }
 
-// rejectRequest responds to a request that is invalid or took too long, and closes the connection.
+// rejectRequest responds with an error status to a request that is invalid or took too long, and closes the
+// connection.
 func (c *conn) rejectRequest(err error) {
 	c.server.BadRequests++
 	c.setState(stateEnded)
@@ -176,8 +181,8 @@
 	c.transport.CloseAfterFlush()
 }
 
-// prepareForNextRequest prepares the connection for the next request, or closes it if no further request is
-// allowed.
+// prepareForNextRequest is called when a response is complete. It prepares the connection for the next
+// request, or closes the connection if no further request is allowed.
 func (c *conn) prepareForNextRequest() {
 	c.lastProgressAt = c.server.loop.Now()
 	if c.closeAfterResponse {
@@ -195,8 +200,8 @@
 	c.transport.RedeliverInput()
 }
 
-// reportMemoryUse reports the memory use of the connection to the memory quota and closes connections if it
-// is exceeded.
+// reportMemoryUse reports the memory use of the connection to the memory quota and closes connections if
+// the quota is exceeded.
 func (c *conn) reportMemoryUse() {
 	if c.transport.Closed() {
 		return
@@ -207,8 +212,8 @@
 	s.evictOverQuota()
 }
 
-// armTimer sets the timer of the connection for the time limit that currently applies. The timer is set
-// again whenever it fires.
+// armTimer sets deadlineTimer to the time at which the currently applicable time limit expires. Whenever
+// the timer fires, it is set again.
 func (c *conn) armTimer() {
 	loop := c.server.loop
 	c.deadlineTimer = loop.At(max(c.deadline(), loop.Now().Add(minTimerDelay)), func() {
@@ -219,7 +224,8 @@
 	})
 }
 
-// shortenTimer sets the timer again if more than maxDelay remains until it is due.
+// shortenTimer sets deadlineTimer again if it is due more than maxDelay from now. It is called when a
+// shorter time limit begins to apply.
 func (c *conn) shortenTimer(maxDelay time.Duration) {
 	if c.deadlineTimer.Due() > c.server.loop.Now().Add(maxDelay) {
 		c.deadlineTimer.Stop()
@@ -236,15 +242,15 @@
 	case c.transport.UnsentBytes() > 0:
 		return c.lastProgressAt.Add(options.WriteTimeout)
 	case c.state.awaitsResponseEnd():
-		// No time limit applies. Output that is queued from now on cannot exceed the write timeout before
-		// this time.
+		// No time limit applies while the handler prepares the response. The write timeout of output that
+		// is queued from now on cannot expire before the returned time.
 		return c.server.loop.Now().Add(options.WriteTimeout)
 	}
 	return c.lastProgressAt.Add(options.IdleTimeout)
 }
 
 // checkDeadline closes the connection if a time limit has expired. If a request took too long, it sends a
-// response first.
+// response with status 408 first.
 func (c *conn) checkDeadline() {
 	now := c.server.loop.Now()
 	options := &c.server.options
@@ -259,7 +265,8 @@
 	}
 }
 
-// isIdle reports whether no request is being received or handled and no output is queued.
+// isIdle reports whether the connection is receiving no request, is preparing no response and has no output
+// queued.
 func (c *conn) isIdle() bool {
 	return !c.state.isReceivingRequest() && !c.state.awaitsResponseEnd() && c.transport.UnsentBytes() == 0
 }
--- a/internal/netio/httpd/conn_state.go
+++ b/internal/netio/httpd/conn_state.go
@@ -2,9 +2,9 @@
 
 package httpd
 
-// connState is the state of a connection with regard to its current request. A connection receives a
-// request, waits for the response of the handler, sends it, and repeats this for further requests until it
-// is closed.
+// connState is the progress of a connection with its current request. A connection receives a request,
+// waits for the response of the handler, sends it, and repeats this for further requests until it is
+// closed.
 type connState uint8
 
 const (
@@ -14,12 +14,13 @@
 	stateReadingHead
 	// stateReadingBody means that the head is complete and the body is being received.
 	stateReadingBody
-	// stateHandling means that the handler has received the request and has not responded yet.
+	// stateHandling means that the handler has received the request and has not called Exchange.Respond
+	// yet.
 	stateHandling
-	// stateResponding means that the handler has responded. A stream as the response body may still be
-	// producing data.
+	// stateResponding means that the handler has called Exchange.Respond and the response is not complete.
+	// This takes long only if the response body is a stream that still produces data.
 	stateResponding
-	// stateEnded means that no further request is read: the connection is closing or closed.
+	// stateEnded means that the connection is closing or closed, and no further request is read.
 	stateEnded
 )
 
@@ -43,17 +44,20 @@
 // isReceivingRequest reports whether a request has begun and is not complete.
 func (s connState) isReceivingRequest() bool { return s == stateReadingHead || s == stateReadingBody }
 
-// hasUnfinishedExchange reports whether the head of a request is complete and its response is not.
+// hasUnfinishedExchange reports whether the head of a request has been received and the response is not
+// complete.
 func (s connState) hasUnfinishedExchange() bool {
 	return s == stateReadingBody || s == stateHandling || s == stateResponding
 }
 
-// awaitsResponseEnd reports whether the request is complete and its response is not.
+// awaitsResponseEnd reports whether the request has been received completely and the response is not
+// complete.
 func (s connState) awaitsResponseEnd() bool { return s == stateHandling || s == stateResponding }
 
-// setState changes the state of the connection; no other code does. A transition that connTransitions does
-// not allow is a bug in this package. It is counted and has no effect: a panic would close all other
-// connections too.
+// setState changes the state of the connection. No other code may assign it. A transition that
+// connTransitions does not allow is a bug in this package. Server.IllegalTransitions counts such a
+// transition, and the state stays as it is. A panic would end the process and close all other connections
+// too.
 func (c *conn) setState(next connState) {
 	if connTransitions[c.state]&(1<<next) == 0 {
 		c.server.IllegalTransitions++
--- a/internal/netio/httpd/exchange.go
+++ b/internal/netio/httpd/exchange.go
@@ -17,20 +17,22 @@
 	responseStream http1.Stream
 }
 
-// Finished reports whether no response can be sent any more, because there has been one or the connection
-// is closed.
+// Finished reports whether it is too late to respond, because the handler has responded already or the
+// connection is closed.
 func (e *Exchange) Finished() bool {
 	return e.conn.state != stateHandling || e.conn.transport.Closed()
 }
 
-// Reset closes the connection without a response. Emulators use it to inject faults.
+// Reset closes the connection without a response. An emulated node uses it to behave like an unreachable
+// one.
 func (e *Exchange) Reset() {
 	if !e.Finished() {
 		e.conn.transport.Close()
 	}
 }
 
-// Respond sends the response. The handler may call it directly or later. Only the first call has an effect.
+// Respond sends the response. The handler may call it before or after it returns. Only the first call has
+// an effect.
 func (e *Exchange) Respond(response http1.Response) {
 	c := e.conn
 	if e.Finished() {
@@ -50,8 +52,8 @@
 	}
 }
 
-// usesChunks reports whether a streamed body is sent in chunks. HTTP/1.0 does not support this: the end of
-// the connection marks the end of the body.
+// usesChunks reports whether a streamed body is sent with the chunked transfer coding. HTTP/1.0 does not
+// support that coding. For an HTTP/1.0 client, the end of the body is marked by closing the connection.
 func (e *Exchange) usesChunks() bool { return e.Head.MinorVersion > 0 }
 
 func (e *Exchange) isHEADRequest() bool { return e.Head.Method == "HEAD" }
@@ -88,7 +90,8 @@
 	}
 }
 
-// respondStream sends the head of a response whose body is a stream, and starts to pull data from the stream.
+// respondStream sends the head of a response whose body is a stream, and the data that the stream has
+// ready.
 func (e *Exchange) respondStream(response *http1.Response) {
 	c := e.conn
 	if !e.usesChunks() {
--- a/internal/netio/httpd/httpd_test.go
+++ b/internal/netio/httpd/httpd_test.go
@@ -20,21 +20,22 @@
 	"heathshed/internal/testsupport/looptest"
 )
 
-// startServer runs a server whose responses repeat the request. The paths /later, /never and /stream make
-// it respond later, never or with a stream. For /never, disconnects receives "handled /never" when the
-// request reaches the handler, and "/never" when the client closes the connection.
-func startServer(t *testing.T, options Options) (loop *eventloop.Loop, server *Server, disconnects chan string) {
+// startServer runs a server that responds with the method, path and body of the request. Three paths are
+// handled in another way. The handler responds to /later after it has returned, and to /stream with a
+// stream of 1000 lines. It never responds to /never. For that path, neverEvents receives "handled /never"
+// when the handler is called and "/never" when OnDisconnect is called.
+func startServer(t *testing.T, options Options) (loop *eventloop.Loop, server *Server, neverEvents chan string) {
 	t.Helper()
 	loop = looptest.New(t)
-	disconnects = make(chan string, 10)
+	neverEvents = make(chan string, 10)
 	server, err := Listen(loop, "127.0.0.1:0", options, func(e *Exchange) {
 		target := e.Head.Target
 		switch target {
 		case "/later":
 			loop.After(10*time.Millisecond, func() { e.Respond(http1.Response{Status: 200, Body: []byte("later")}) })
 		case "/never":
-			e.OnDisconnect = func() { disconnects <- target }
-			disconnects <- "handled " + target
+			e.OnDisconnect = func() { neverEvents <- target }
+			neverEvents <- "handled " + target
 		case "/stream":
 			e.Respond(http1.Response{Status: 200, Stream: &numberStream{end: 1000}})
 		default:
@@ -47,14 +48,14 @@
 	stop := looptest.Run(t, loop)
 	t.Cleanup(func() {
 		stop()
-		if illegal := server.IllegalTransitions; illegal != 0 {
-			t.Errorf("the server counted %d illegal state transitions of connections, want none", illegal)
+		if illegalCount := server.IllegalTransitions; illegalCount != 0 {
+			t.Errorf("the server counted %d illegal state transitions of its connections, want none", illegalCount)
 		}
 	})
-	return loop, server, disconnects
+	return loop, server, neverEvents
 }
 
-// numberStream is a stream of consecutive numbers, one per line.
+// numberStream is a response stream that produces consecutive numbers, one per line.
 type numberStream struct{ next, end int }
 
 func (s *numberStream) Pull(b []byte, maxBytes int) ([]byte, bool) {
@@ -65,14 +66,14 @@
 }
 func (s *numberStream) Close() {}
 
-// openConn connects to the server and sends the text.
+// openConn connects to the server and sends the text on the new connection.
 func openConn(t *testing.T, server *Server, text string) net.Conn {
 	t.Helper()
 	conn, err := net.Dial("tcp", server.Addr())
 	if err != nil {
 		t.Fatal(err)
 	}
-	// This Close only frees the descriptor; the test may have closed the connection already.
+	// The error is ignored, because the test may have closed the connection already.
 	t.Cleanup(func() { _ = conn.Close() })
 	if _, err := io.WriteString(conn, text); err != nil {
 		t.Fatal(err)
@@ -92,6 +93,7 @@
 	return body
 }
 
+// TestAgainstNetHTTPClient checks which responses the client of net/http receives to requests of several kinds.
 func TestAgainstNetHTTPClient(t *testing.T) {
 	options := DefaultOptions()
 	options.Limits.BodyBytes = 100
@@ -104,15 +106,15 @@
 		wantStatus               int
 		wantBody                 string
 	}{
-		{name: "GET", method: "GET", path: "/a", wantStatus: 200, wantBody: "GET /a "},
-		{name: "POST with Content-Length", method: "POST", path: "/a", body: "xyz", wantStatus: 200, wantBody: "POST /a xyz"},
-		{name: "POST that expects 100 Continue", method: "POST", path: "/a", body: "xyz", expect: true, wantStatus: 200, wantBody: "POST /a xyz"},
-		{name: "POST with a chunked body", method: "POST", path: "/a", body: "xyz", chunked: true, wantStatus: 200, wantBody: "POST /a xyz"},
-		{name: "HEAD", method: "HEAD", path: "/a", wantStatus: 200},
-		{name: "response after the handler has returned", method: "GET", path: "/later", wantStatus: 200, wantBody: "later"},
-		{name: "body of exactly the limit", method: "POST", path: "/a", body: largestBody, wantStatus: 200, wantBody: "POST /a " + largestBody},
-		{name: "Content-Length over the limit", method: "POST", path: "/a", body: largestBody + "x", wantStatus: 413},
-		{name: "chunked body over the limit", method: "POST", path: "/a", body: largestBody + "x", chunked: true, wantStatus: 413},
+		{name: "GET request without a body", method: "GET", path: "/a", wantStatus: 200, wantBody: "GET /a "},
+		{name: "POST request with Content-Length", method: "POST", path: "/a", body: "xyz", wantStatus: 200, wantBody: "POST /a xyz"},
+		{name: "POST request that expects a 100 Continue response", method: "POST", path: "/a", body: "xyz", expect: true, wantStatus: 200, wantBody: "POST /a xyz"},
+		{name: "POST request with a chunked body", method: "POST", path: "/a", body: "xyz", chunked: true, wantStatus: 200, wantBody: "POST /a xyz"},
+		{name: "response to HEAD has no body", method: "HEAD", path: "/a", wantStatus: 200},
+		{name: "handler responds after it has returned", method: "GET", path: "/later", wantStatus: 200, wantBody: "later"},
+		{name: "request body with exactly the maximum size", method: "POST", path: "/a", body: largestBody, wantStatus: 200, wantBody: "POST /a " + largestBody},
+		{name: "request body over the limit with Content-Length", method: "POST", path: "/a", body: largestBody + "x", wantStatus: 413},
+		{name: "chunked request body over the limit", method: "POST", path: "/a", body: largestBody + "x", chunked: true, wantStatus: 413},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			var body io.Reader
@@ -135,7 +137,7 @@
 			}
 			respBody := readBody(t, resp)
 			if resp.StatusCode != test.wantStatus || test.wantBody != "" && string(respBody) != test.wantBody {
-				t.Errorf("request body of %d bytes: got status %d and body %.200q, want the status and body of the case", len(test.body), resp.StatusCode, respBody)
+				t.Errorf("response to a request with a body of %d bytes: got status %d and body %.200q, want wantStatus and wantBody of the test case", len(test.body), resp.StatusCode, respBody)
 			}
 		})
 	}
@@ -144,11 +146,12 @@
 		t.Fatal(err)
 	}
 	if lines := strings.Count(string(readBody(t, resp)), "\n"); lines != 1000 {
-		t.Errorf("the stream has %d lines, want 1000", lines)
+		t.Errorf("the response body of /stream has %d lines, want 1000", lines)
 	}
 }
 
-// TestRequestTimeout checks that a client that sends only a part of a request receives status 408.
+// TestRequestTimeout checks that a client receives status 408 if it sends only a part of a request before
+// RequestTimeout expires.
 func TestRequestTimeout(t *testing.T) {
 	options := DefaultOptions()
 	options.RequestTimeout = 100 * time.Millisecond
@@ -156,28 +159,28 @@
 	conn := openConn(t, server, "GET / HT")
 	resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
 	if err != nil || resp.StatusCode != 408 {
-		t.Errorf("incomplete request: response %v, error %v; want status 408", resp, err)
+		t.Errorf("reading the response to an incomplete request: got response %v and error %v, want status 408", resp, err)
 	}
 }
 
 // TestDisconnectBeforeResponse checks that OnDisconnect is called when the client closes the connection
-// before the response.
+// before the handler has responded.
 func TestDisconnectBeforeResponse(t *testing.T) {
-	_, server, disconnects := startServer(t, DefaultOptions())
+	_, server, neverEvents := startServer(t, DefaultOptions())
 	conn := openConn(t, server, "GET /never HTTP/1.1\r\nHost: a\r\n\r\n")
-	if got := <-disconnects; got != "handled /never" {
-		t.Fatalf("the handler reported %q, want \"handled /never\"", got)
+	if got := <-neverEvents; got != "handled /never" {
+		t.Fatalf("the handler of /never reported %q, want \"handled /never\"", got)
 	}
 	if err := conn.Close(); err != nil {
 		t.Fatal(err)
 	}
-	if got := <-disconnects; got != "/never" {
-		t.Errorf("OnDisconnect reported %q, want \"/never\"", got)
+	if got := <-neverEvents; got != "/never" {
+		t.Errorf("OnDisconnect of /never reported %q, want \"/never\"", got)
 	}
 }
 
-// TestStreamToHTTP10 checks that a stream to an HTTP/1.0 client is sent without chunks and ends with the
-// connection.
+// TestStreamToHTTP10 checks that a streamed body is sent to an HTTP/1.0 client without the chunked transfer
+// coding, and that the server closes the connection at the end of the body.
 func TestStreamToHTTP10(t *testing.T) {
 	_, server, _ := startServer(t, DefaultOptions())
 	conn := openConn(t, server, "GET /stream HTTP/1.0\r\n\r\n")
@@ -187,13 +190,13 @@
 	}
 	head, body, ok := strings.Cut(string(response), "\r\n\r\n")
 	if !ok || strings.Count(body, "\n") != 1000 || strings.Contains(head+body, "chunked") {
-		t.Errorf("response of %d bytes has %d lines and head %q; want 1000 lines and no chunked coding", len(response), strings.Count(body, "\n"), head)
+		t.Errorf("the response to HTTP/1.0 has %d bytes, %d lines in its body and head %q; want 1000 lines and no chunked transfer coding", len(response), strings.Count(body, "\n"), head)
 	}
 }
 
 // TestNoDescriptorsLeft checks that the server closes new connections when the process has no descriptor
-// left, and still serves the open ones. A connection that is neither accepted nor closed keeps the listener
-// readable, and the loop spins.
+// left, and still serves the open ones. If such a connection were neither accepted nor closed, it would
+// keep the listener readable, and the loop would iterate without pause.
 func TestNoDescriptorsLeft(t *testing.T) {
 	loop, server, _ := startServer(t, DefaultOptions())
 	openedBefore := openConn(t, server, "")
@@ -215,8 +218,8 @@
 	if err := unix.Getrlimit(unix.RLIMIT_NOFILE, &originalLimit); err != nil {
 		t.Skip(err)
 	}
-	// The client sockets are created before the limit is set. Only the accepting side then runs out of
-	// descriptors.
+	// The client sockets are created before the descriptor limit is lowered. As a result, only the server
+	// runs out of descriptors.
 	fds := openSockets(t, 8)
 	restore := sync.OnceFunc(func() {
 		if err := unix.Setrlimit(unix.RLIMIT_NOFILE, &originalLimit); err != nil {
@@ -235,23 +238,23 @@
 		if err := unix.Connect(fd, &unix.SockaddrInet4{Port: port, Addr: [4]byte{127, 0, 0, 1}}); err != nil {
 			t.Fatal(err)
 		}
-		// The server may close or reset the connection.
+		// The error is ignored, because the server may either close or reset the connection.
 		if n, _ := unix.Read(fd, make([]byte, 1)); n > 0 {
-			t.Error("received data on a connection that the server could not accept, want it closed or reset")
+			t.Error("the client received data on a connection that the server had no descriptor for, want the connection closed or reset")
 		}
 	}
 	if err := get(); err != nil {
-		t.Errorf("request on the connection that was opened before: %v", err)
+		t.Errorf("request on the connection that was opened before the descriptors ran out failed: %v", err)
 	}
 	restore()
 	iterations := make(chan uint64, 1)
 	loop.Post(func() { iterations <- loop.Iterations })
 	if count := <-iterations; count > 10000 {
-		t.Errorf("the loop made %d iterations, want at most 10000: it spins", count)
+		t.Errorf("the loop made %d iterations, want at most 10000 because it should block while nothing happens", count)
 	}
 }
 
-// openSockets creates sockets that are not connected.
+// openSockets creates TCP sockets that are not connected yet, and returns their descriptors.
 func openSockets(t *testing.T, count int) []int {
 	t.Helper()
 	fds := make([]int, 0, count)
--- a/internal/netio/httpd/server.go
+++ b/internal/netio/httpd/server.go
@@ -2,7 +2,9 @@
 
 // Package httpd implements an HTTP/1.1 server on the event loop. It connects the codec of package http1
 // with the connections of package eventloop and adds time limits, back-pressure and a memory quota. The
-// handler interprets requests.
+// handler, which the user of the package provides, interprets the requests. A response body can be a
+// stream: whenever output can be sent, the server calls http1.Stream.Pull to get the next data of the body.
+// The comments of this package call this pulling data from the stream.
 package httpd
 
 import (
@@ -14,31 +16,32 @@
 )
 
 const (
-	// pullRetryDelay is the time after which streams that could not write for lack of memory are pulled
-	// again.
+	// pullRetryDelay is the delay before the server pulls data from the response streams again after the
+	// memory quota had no room for it.
 	pullRetryDelay = 10 * time.Millisecond
 	// drainPollInterval is the time between checks whether all connections are closed.
 	drainPollInterval = 20 * time.Millisecond
 )
 
-// Handler handles a request. It calls Exchange.Respond directly or later; the request body is valid until
-// then.
+// Handler handles a request. It calls Exchange.Respond before it returns or later. The request body is
+// valid until that call.
 type Handler func(e *Exchange)
 
 // Options limits the time and memory that clients can use.
 type Options struct {
 	// Limits restricts the size of requests.
 	Limits http1.Limits
-	// RequestTimeout limits the time from the first byte of a request to its last.
+	// RequestTimeout limits the time from receiving the first byte of a request to receiving its last byte.
 	RequestTimeout time.Duration
 	// IdleTimeout limits the time between two requests on a connection.
 	IdleTimeout time.Duration
 	// WriteTimeout limits the time during which a client accepts no output although some is queued.
 	WriteTimeout time.Duration
-	// OutputHighWaterMark limits the queued output of a connection in bytes. Above the limit, the connection
-	// neither pulls its stream nor reads the next request.
+	// OutputHighWaterMark limits the queued output of a connection in bytes. While more output is queued,
+	// the connection pulls no data from its response stream and reads no further request.
 	OutputHighWaterMark int
-	// MemoryQuotaBytes limits the memory of all connections together: see package memquota.
+	// MemoryQuotaBytes limits the buffer memory of all connections together. Package memquota describes
+	// which connections are closed when the limit is exceeded.
 	MemoryQuotaBytes int64
 }
 
@@ -64,16 +67,17 @@
 	conns      map[*conn]struct{}
 	connsByID  map[uint64]*conn
 	lastConnID uint64
-	// streamingConns holds the connections whose response is a stream that is not complete.
+	// streamingConns holds the connections whose current response has a stream as its body and is not
+	// complete.
 	streamingConns map[*conn]struct{}
 	memoryQuota    *memquota.Budget
 	draining       bool
-	// evictionRunning reports that evictOverQuota is closing connections.
+	// evictionRunning reports that evictOverQuota is running.
 	evictionRunning bool
 	pullScheduled   bool
 
-	// Requests counts the requests that were passed to the handler, and BadRequests the rejected ones. Both
-	// are exported for metrics.
+	// Requests counts the requests that were passed to the handler, and BadRequests counts those that were
+	// rejected because they were invalid or took too long. Both are exported for metrics.
 	Requests, BadRequests uint64
 	// IllegalTransitions counts attempts to make a transition that the state machine of a connection does
 	// not allow. Each one is a bug in this package.
@@ -110,25 +114,27 @@
 // Conns returns the number of open connections.
 func (s *Server) Conns() int { return len(s.conns) }
 
-// Streams returns the number of streamed responses that are not complete.
+// Streams returns the number of responses that have a stream as their body and are not complete.
 func (s *Server) Streams() int { return len(s.streamingConns) }
 
-// MemoryQuota returns the memory quota that all connections share. Callers may read it between events.
+// MemoryQuota returns the memory quota that all connections share. Callers may read it on the goroutine of
+// the loop and must not change it.
 func (s *Server) MemoryQuota() *memquota.Budget { return s.memoryQuota }
 
-// PullStreams pulls every stream whose client keeps up with its output. Call it when streams may have new
-// data.
+// PullStreams pulls new data from the response streams and sends it to the clients. It skips streams whose
+// client reads too slowly. Call it when streams may have new data.
 func (s *Server) PullStreams() {
 	for c := range s.streamingConns {
 		c.pullStream()
-		// The output is sent at once. With thousands of streams, the output of all of them would exceed the
-		// memory quota.
+		// The output is sent at once rather than at the end of the iteration. With thousands of streams,
+		// the queued output of all of them together would exceed the memory quota.
 		c.transport.Flush()
 		c.reportMemoryUse()
 	}
 }
 
-// schedulePull schedules another pull of all streams, for those that could not write for lack of memory.
+// schedulePull schedules a call of PullStreams after pullRetryDelay. It is called when the memory quota has
+// no room for data from a stream.
 func (s *Server) schedulePull() {
 	if s.pullScheduled {
 		return
@@ -141,7 +147,7 @@
 }
 
 // Drain stops accepting connections and closes each open one after its current response. It calls done when
-// all are closed.
+// all connections are closed.
 func (s *Server) Drain(done func()) {
 	s.draining = true
 	s.listener.Close()
@@ -161,7 +167,7 @@
 	s.loop.After(drainPollInterval, func() { s.pollDrained(done) })
 }
 
-// Close stops accepting connections and closes the open ones immediately.
+// Close stops accepting connections and closes the open connections immediately.
 func (s *Server) Close() {
 	s.listener.Close()
 	s.CloseConns()
@@ -175,8 +181,8 @@
 }
 
 // evictOverQuota closes the connections that the memory quota selects for eviction. Closing a connection
-// may cause writes to others and nested calls of this method; these return at once, and the outermost call
-// closes all selected connections.
+// may cause output on other connections, which leads to nested calls of this method. Nested calls return at
+// once, because the outermost call closes all selected connections.
 func (s *Server) evictOverQuota() {
 	if s.evictionRunning {
 		return
--- a/internal/netio/httpd/state_test.go
+++ b/internal/netio/httpd/state_test.go
@@ -4,8 +4,8 @@
 
 import "testing"
 
-// TestConnStates checks that a connection passes through the states of a request in order, that it can end
-// in any state, and that no transition leaves the ended state.
+// TestConnStates checks that setState allows the states of a request only in their order, that every state
+// except stateEnded may be followed by stateEnded, and that no transition leaves stateEnded.
 func TestConnStates(t *testing.T) {
 	successors := map[connState]connState{
 		stateIdle:        stateReadingHead,
@@ -19,21 +19,21 @@
 			successor, ok := successors[from]
 			want := ok && (to == successor || to == stateEnded)
 			if got := transitionMade(t, from, to); got != want {
-				t.Errorf("transition from state %s to %s: made %t, want %t", from, to, got, want)
+				t.Errorf("setState makes a transition from state %q to state %q: %t, want %t", from, to, got, want)
 			}
 		}
 	}
 }
 
 // transitionMade reports whether setState makes a transition. It fails the test if setState ignores a
-// transition without counting it, or counts one that it makes.
+// transition without counting it, or counts a transition that it makes.
 func transitionMade(t *testing.T, from, to connState) (made bool) {
 	t.Helper()
 	server := &Server{}
 	connection := &conn{server: server, state: from}
 	connection.setState(to)
 	if refused := server.IllegalTransitions == 1; refused != (connection.state == from) {
-		t.Errorf("transition from state %s to %s: the state is %s and %d illegal transitions are counted, want either a new state or one counted", from, to, connection.state, server.IllegalTransitions)
+		t.Errorf("after setState from state %q to state %q, the state is %q and IllegalTransitions is %d; want the new state and 0, or the old state and 1", from, to, connection.state, server.IllegalTransitions)
 	}
 	return connection.state == to && from != to
 }
--- a/internal/netio/httpd/stream.go
+++ b/internal/netio/httpd/stream.go
@@ -4,22 +4,24 @@
 
 import "heathshed/internal/netio/http1"
 
-// chunkLinePlaceholder reserves space for the chunk size before the data of a chunk until the size is known.
+// chunkLinePlaceholder reserves space in the output for the chunk size, which is not known before the
+// stream has appended the data of the chunk.
 const chunkLinePlaceholder = "00000000\r\n"
 
 const chunkSizeDigits = len(chunkLinePlaceholder) - len("\r\n")
 
-// truncatableStream is a stream that may end before its body is complete.
+// truncatableStream is a response stream that may end before the body is complete.
 type truncatableStream interface {
-	// Broken reports, after the stream has ended, whether its body is incomplete.
+	// Broken reports, after the stream has ended, whether the body is incomplete.
 	Broken() bool
 }
 
-// pullStream pulls data from the stream of the current response, if any, as far as queued output and the
-// memory quota allow.
+// pullStream pulls data from the stream of the current response, if there is one, and queues it as output.
+// It stops when the stream has no more data, OutputHighWaterMark is reached or the memory quota has no
+// room.
 func (c *conn) pullStream() {
 	e := &c.exchange
-	// Output that is sent at the end of the iteration counts as queued until then.
+	// Output that has been queued in this iteration counts as unsent until the end of the iteration.
 	for e.responseStream != nil && !c.transport.Closed() {
 		freeBytes := c.server.options.OutputHighWaterMark - c.transport.UnsentBytes()
 		if freeBytes <= 0 {
@@ -40,7 +42,8 @@
 	}
 }
 
-// pullStreamOnce pulls about maxBytes from the stream and reports whether it may have more data.
+// pullStreamOnce pulls data once, about maxBytes at most, queues it as output, and reports whether the
+// stream may have more data.
 func (c *conn) pullStreamOnce(maxBytes int) bool {
 	e := &c.exchange
 	out := c.transport.OutputBuffer()
@@ -53,7 +56,7 @@
 	size := len(out) - dataStart
 	switch {
 	case size == 0:
-		// The stream has no data. The placeholder is removed without queueing a flush.
+		// The stream has no data. The placeholder is removed, and no flush is queued for the connection.
 		c.transport.DiscardOutput(out[:queuedBytes])
 	case e.usesChunks():
 		putChunkSize(out[queuedBytes:], size)
@@ -77,8 +80,8 @@
 	}
 }
 
-// endStream completes a response whose stream has ended. If the body is incomplete, it closes the
-// connection instead, because the client must not take the response for a complete one.
+// endStream completes a response whose stream has ended. If the body is incomplete, endStream closes the
+// connection instead. The client can then tell that the response is incomplete.
 func (c *conn) endStream() {
 	if stream, ok := c.exchange.responseStream.(truncatableStream); ok && stream.Broken() {
 		c.transport.Close()
@@ -92,7 +95,8 @@
 	c.prepareForNextRequest()
 }
 
-// closeStream closes the stream of the current response, if any. It is not pulled again.
+// closeStream closes the stream of the current response, if there is one. The connection pulls no data from
+// it after that.
 func (c *conn) closeStream() {
 	stream := c.exchange.responseStream
 	if stream == nil {
