--- a/internal/netio/http1/bench_test.go
+++ b/internal/netio/http1/bench_test.go
@@ -5,7 +5,8 @@
 	"testing"
 )
 
-// BenchmarkDecode decodes a request as clients of the API server send it, and one with a chunked body.
+// BenchmarkDecode measures the decoding of a request with Content-Length, as clients of the API server send
+// it, and of a request with a chunked body.
 func BenchmarkDecode(b *testing.B) {
 	const head = "POST /apis/batch/v1/namespaces/default/jobs HTTP/1.1\r\nHost: a\r\nUser-Agent: bench\r\nAccept: application/json\r\n" +
 		"Content-Type: application/json\r\n"
--- a/internal/netio/http1/characterization_test.go
+++ b/internal/netio/http1/characterization_test.go
@@ -12,10 +12,10 @@
 	"heathshed/internal/testsupport/goldentest"
 )
 
-// TestCharacterization compares two things with the golden file: how fixed messages (in one piece, split
-// and under small limits) and seeded mutations of them are decoded, and what the append functions write.
-// The reasons of rejections are included because they are sent to clients. Package goldentest describes how
-// to regenerate the file.
+// TestCharacterization compares the decoder and the append functions with the golden file. It decodes fixed
+// messages in one piece, in several pieces and under small limits, and it decodes random changes of these
+// messages. The golden file includes the reasons of rejections, because a server sends them to clients.
+// Package goldentest describes how to regenerate the file.
 func TestCharacterization(t *testing.T) {
 	record := goldentest.NewRecorder()
 	limits := http1.DefaultLimits()
@@ -34,7 +34,7 @@
 
 func digestOf(text string) string { return fmt.Sprintf("%x", sha256.Sum256([]byte(text))) }
 
-// messageStream is a stream of requests or of responses.
+// messageStream is a stream of bytes that holds requests or responses, some of them invalid.
 type messageStream struct {
 	text              string
 	responses, noBody bool
@@ -42,8 +42,8 @@
 
 var smallLimits = []http1.Limits{{StartLineBytes: 20, HeadBytes: 80, HeaderFields: 2, BodyBytes: 4, TrailerBytes: 8}, {StartLineBytes: 14, HeadBytes: 60, HeaderFields: 1, BodyBytes: 3, TrailerBytes: 5}, {StartLineBytes: 100, HeadBytes: 100, HeaderFields: 10}, {}}
 
-// decodeVariants decodes a stream in pieces of each size, or of 1000 bytes if it is long, and under small
-// limits.
+// decodeVariants decodes a stream in several ways and returns the texts of decode, joined together. It uses
+// pieces of every size, or of 1000 bytes if the stream is long, and then the small limits.
 func decodeVariants(sample messageStream, limits http1.Limits) string {
 	var steps strings.Builder
 	if len(sample.text) <= 300 {
@@ -59,8 +59,8 @@
 	return steps.String()
 }
 
-// decode decodes a stream in pieces of the given size. It returns one text that lists each step with the
-// number of consumed bytes, the event, the decoded values and the error.
+// decode decodes a stream in pieces of the given size. It returns a text that lists, for each call of
+// Decoder.Next, the number of consumed bytes, the event, the decoded values and the error.
 func decode(sample messageStream, limits http1.Limits, pieceBytes int) string {
 	decoder := http1.Decoder{Limits: limits, DecodeResponses: sample.responses, ResponseHasNoBody: sample.noBody}
 	var steps strings.Builder
@@ -80,11 +80,12 @@
 	return steps.String()
 }
 
-// isSameError reports whether both errors are the same one, rather than one wrapping the other.
+// isSameError reports whether a and b are the same error. If only one of them wraps the other, it reports
+// false.
 func isSameError(a, b error) bool { return errors.Is(a, b) && errors.Is(b, a) }
 
-// decodePending decodes the pending bytes until more input is needed. It appends each step to steps and
-// returns the bytes that were not consumed.
+// decodePending decodes the pending bytes until more input is needed. It appends a description of each call
+// of Decoder.Next to steps, and returns the bytes that were not consumed.
 func decodePending(decoder *http1.Decoder, pending string, steps *strings.Builder) (string, error) {
 	for {
 		consumed, event, err := decoder.Next([]byte(pending))
@@ -141,8 +142,9 @@
 	"0\r\nbad\r\n\r\n", "0\r\nA: b\n\r\n", "0\r\n A: b\r\n\r\n", "0\r\nA: \r b\r\n\r\n", "1;" + strings.Repeat("e", 251) + "\r\nx\r\n0\r\n\r\n", "1;" + strings.Repeat("e", 253) + "\r\nx\r\n0\r\n\r\n",
 	"1;" + strings.Repeat("e", 254) + "\r\nx\r\n0\r\n\r\n", "1;" + strings.Repeat("e", 256), "0\r\n" + strings.Repeat("T: 45678\r\n", 409) + "\r\n", "0\r\n" + strings.Repeat("T: 45678\r\n", 410) + "\r\n", "0\r\n" + strings.Repeat("T", 5000)}
 
-// corpus returns messages that are well formed except for one start line, field or chunked body from the
-// lists above, and messages whose size is at, just below and just above each limit.
+// corpus returns the streams that the test decodes. Most are well formed except for one start line, header
+// field or chunked body from the lists above. The others have a start line, header or number of fields at a
+// limit, one below it or one above it.
 func corpus() []messageStream {
 	var all []messageStream
 	for _, line := range requestLines {
@@ -172,7 +174,8 @@
 	return all
 }
 
-// decodeMutations decodes the short messages of the corpus, each with up to two bytes replaced at random.
+// decodeMutations decodes the short streams of the corpus, each with up to two bytes replaced at random,
+// and returns the texts of decode, joined together.
 func decodeMutations(seed uint64) string {
 	random := rand.New(rand.NewPCG(seed, 8))
 	const alphabet = "\r\n :;,0179aAfFxZ/\t\x00\x7f\xff"
@@ -191,7 +194,8 @@
 	return steps.String()
 }
 
-// appendedOutput returns what the append functions write for a range of arguments.
+// appendedOutput returns lines that show what the append functions of package http1 write for a range of
+// arguments.
 func appendedOutput() []string {
 	var lines []string
 	for status := 0; status < 600; status++ {
--- a/internal/netio/http1/chunked.go
+++ b/internal/netio/http1/chunked.go
@@ -3,13 +3,15 @@
 import "bytes"
 
 const (
-	// maxChunkLineBytes limits the line before a chunk, which holds the chunk size and its extensions.
+	// maxChunkLineBytes limits the length of a chunk line, which is the line before the data of a chunk. It
+	// holds the chunk size and chunk extensions.
 	maxChunkLineBytes = 256
 	// maxChunkSizeDigits limits the hexadecimal digits of a chunk size: 15 digits always fit into an int64.
 	maxChunkSizeDigits = 15
 )
 
-// decodeChunkLine decodes the line before a chunk and continues with the chunk data or the trailer section.
+// decodeChunkLine decodes the line before the data of a chunk and continues with that data or, after the
+// last chunk, with the trailer section.
 func (d *Decoder) decodeChunkLine(in []byte) (int, Event, *Error) {
 	lineEnd := bytes.IndexByte(in, '\n')
 	if lineEnd < 0 {
@@ -38,15 +40,15 @@
 	return d.decodeAfterLine(in, lineEnd+1)
 }
 
-// decodeAfterLine continues to decode after a line of n bytes. The consumed bytes that it returns include
-// the line.
+// decodeAfterLine continues to decode after a line of n bytes. The number of consumed bytes that it returns
+// includes the line.
 func (d *Decoder) decodeAfterLine(in []byte, n int) (int, Event, *Error) {
 	consumed, event, err := d.decodeNext(in[n:])
 	return n + consumed, event, err
 }
 
-// parseChunkLine returns the chunk size from the line before a chunk. Chunk extensions are ignored, but they
-// must begin with a semicolon and contain no control characters.
+// parseChunkLine returns the chunk size from a chunk line. Chunk extensions are ignored, but they must
+// begin with a semicolon and contain no control characters.
 func parseChunkLine(line []byte) (int64, *Error) {
 	size := int64(0)
 	digits := 0
@@ -79,7 +81,7 @@
 	return size, nil
 }
 
-// hexValues maps each byte to its value as a hexadecimal digit, or to -1 if it is none.
+// hexValues maps each byte to its value as a hexadecimal digit, or to -1 if it is not such a digit.
 var hexValues = func() (table [256]int8) {
 	for c := range table {
 		table[c] = -1
--- a/internal/netio/http1/decoder.go
+++ b/internal/netio/http1/decoder.go
@@ -1,10 +1,11 @@
 package http1
 
-// Event says which part of a message Decoder.Next has decoded.
+// Event tells which part of a message Decoder.Next has decoded.
 type Event uint8
 
 const (
-	// NeedMoreInput means that the input does not complete the next part: call Next again with more bytes.
+	// NeedMoreInput means that the input ends before the next part of the message. The caller must call
+	// Next again with the unconsumed bytes and more.
 	NeedMoreInput Event = iota
 	// HeadComplete means that Decoder.Head holds the start line and header of the message.
 	HeadComplete
@@ -14,7 +15,7 @@
 	MessageComplete
 )
 
-// decoderState says which part of a message the decoder expects next.
+// decoderState tells which part of a message the decoder expects next.
 type decoderState uint8
 
 const (
@@ -22,7 +23,7 @@
 	stateHead decoderState = iota
 	// stateBody expects the rest of a body of known length.
 	stateBody
-	// stateChunkLine expects the line before a chunk.
+	// stateChunkLine expects the line before the data of a chunk.
 	stateChunkLine
 	// stateChunkData expects the rest of the data of a chunk.
 	stateChunkData
@@ -39,20 +40,21 @@
 	Limits Limits
 	// DecodeResponses makes the decoder expect responses instead of requests.
 	DecodeResponses bool
-	// ResponseHasNoBody tells the decoder that the next response answers a HEAD request: it has no body,
-	// even if its header gives a length.
+	// ResponseHasNoBody tells the decoder that the next response answers a HEAD request. Such a response
+	// has no body, even if its header contains a length.
 	ResponseHasNoBody bool
 
 	// Head is the start line and header of the message that is being decoded.
 	Head Head
-	// BodyPiece holds the bytes of the last BodyData event. It refers to the input and is valid until that
-	// changes.
+	// BodyPiece holds the bytes of the last BodyData event. It is a part of the slice that was passed to
+	// Next, and is valid until the caller changes that slice.
 	BodyPiece []byte
 
 	state decoderState
 	// remainingBytes counts the bytes of the body, or of the current chunk, that have not been decoded yet.
 	remainingBytes int64
-	// sectionBytes counts the decoded bytes of the body or, after the last chunk, of the trailer section.
+	// sectionBytes counts the decoded bytes of a body whose length the header does not give or, after the
+	// last chunk, the decoded bytes of the trailer section.
 	sectionBytes int64
 	// searchedBytes counts the bytes of an incomplete head that have been searched for its end.
 	searchedBytes int
@@ -73,9 +75,9 @@
 	return consumed, event, nil
 }
 
-// EOF tells the decoder that the stream has ended while the given number of bytes was not consumed. It
-// returns an error if the stream ended within a message. complete reports that the end of the stream
-// completed a message whose body ends with the connection.
+// EOF tells the decoder that the stream has ended and how many bytes of it the decoder has not consumed.
+// EOF returns an error if the stream ended within a message. The result complete is true if the end of the
+// stream completed a message, because the body of that message ends when the connection is closed.
 func (d *Decoder) EOF(unconsumed int) (complete bool, err error) {
 	switch {
 	case d.err != nil:
@@ -138,7 +140,8 @@
 	return len(in), BodyData, nil
 }
 
-// addBodyBytes adds to the size of a body whose length the header does not give, and enforces the limit.
+// addBodyBytes adds to the size of a body whose length the header does not give, and returns an error if
+// the size exceeds the limit.
 func (d *Decoder) addBodyBytes(bytes int64) *Error {
 	d.sectionBytes += bytes
 	if d.Limits.BodyBytes > 0 && d.sectionBytes > int64(d.Limits.BodyBytes) {
@@ -147,7 +150,7 @@
 	return nil
 }
 
-// endMessage completes a message, of which the current call has consumed n bytes.
+// endMessage completes a message. n is the number of bytes that the current call has consumed.
 func (d *Decoder) endMessage(n int) (int, Event, *Error) {
 	d.startMessage()
 	return n, MessageComplete, nil
--- a/internal/netio/http1/framing.go
+++ b/internal/netio/http1/framing.go
@@ -3,8 +3,8 @@
 // maxContentLengthDigits limits the decimal digits of a Content-Length: 18 digits always fit into an int64.
 const maxContentLengthDigits = 18
 
-// framingFields summarizes the header fields that determine the length of the body, and counts the Host
-// fields, of which an HTTP/1.1 request must have exactly one.
+// framingFields summarizes the header fields that determine the length of the body. It also counts the Host
+// fields, because an HTTP/1.1 request must have exactly one.
 type framingFields struct {
 	contentLength         string
 	contentLengthCount    int
@@ -12,8 +12,9 @@
 	hostCount             int
 }
 
-// determineFraming determines the length of the body (RFC 9112, section 6.3). It rejects every ambiguous
-// message, because request smuggling relies on two recipients that determine different lengths.
+// determineFraming determines the length of the body (RFC 9112, section 6.3). It rejects every message
+// whose length is ambiguous, because request smuggling relies on two recipients that determine different
+// lengths for one message.
 func (d *Decoder) determineFraming() *Error {
 	head := &d.Head
 	fields, err := head.readFramingFields()
@@ -39,8 +40,8 @@
 	return d.startBody()
 }
 
-// checkFramingFields rejects fields that exclude each other, and requests with a missing or repeated Host
-// field.
+// checkFramingFields rejects messages with header fields that exclude each other, and requests with a
+// missing or repeated Host field.
 func (d *Decoder) checkFramingFields(fields *framingFields) *Error {
 	head := &d.Head
 	// HTTP/1.0 does not define the Host field.
@@ -53,7 +54,7 @@
 	return nil
 }
 
-// startBody sets the decoder state for the body that Head announces.
+// startBody sets the decoder state for the body that the header describes.
 func (d *Decoder) startBody() *Error {
 	d.sectionBytes = 0
 	switch {
@@ -72,8 +73,8 @@
 	return nil
 }
 
-// readFramingFields collects the header fields that determine the length of the body, and sets Chunked,
-// CloseConnection and ExpectContinue.
+// readFramingFields collects the header fields that determine the length of the body, and sets the fields
+// Chunked, CloseConnection and ExpectContinue of the head.
 func (h *Head) readFramingFields() (fields framingFields, err *Error) {
 	h.CloseConnection = h.MinorVersion == 0
 	for i := range h.Header {
@@ -106,7 +107,7 @@
 	return fields, nil
 }
 
-// applyConnectionOptions sets CloseConnection by the options of a Connection field.
+// applyConnectionOptions sets CloseConnection according to the options in the value of a Connection field.
 func (h *Head) applyConnectionOptions(options string) {
 	for _, option := range splitList(options) {
 		if equalFold(option, "close") {
--- a/internal/netio/http1/head.go
+++ b/internal/netio/http1/head.go
@@ -8,7 +8,8 @@
 const (
 	headTerminator = "\r\n\r\n"
 
-	// initialFieldCapacity is the number of header fields that are allocated up front.
+	// initialFieldCapacity is the number of header fields for which memory is allocated before their actual
+	// number is known.
 	initialFieldCapacity = 12
 
 	versionBytes = len("HTTP/1.1")
@@ -16,7 +17,7 @@
 	minStatusLineBytes = len("HTTP/1.1 200")
 )
 
-// decodeHead decodes the start line and header together, once they have been received completely.
+// decodeHead decodes the start line and the header together, once both have been received completely.
 func (d *Decoder) decodeHead(in []byte) (int, Event, *Error) {
 	skipped := 0
 	if !d.DecodeResponses && len(in) >= 2 && in[0] == '\r' && in[1] == '\n' {
@@ -25,7 +26,7 @@
 		skipped = 2
 		d.searchedBytes = max(0, d.searchedBytes-2)
 	}
-	// The terminator may begin in the last bytes that an earlier call has searched.
+	// The terminator may begin within the last bytes that an earlier call has searched.
 	searchStart := max(0, d.searchedBytes-len(headTerminator)+1)
 	terminator := bytes.Index(in[searchStart:], []byte(headTerminator))
 	if terminator < 0 {
@@ -61,7 +62,8 @@
 	return nil
 }
 
-// parseHead parses the start line and header fields, without the empty line that ends them.
+// parseHead parses the start line and the header fields. text does not include the empty line that ends the
+// header.
 func (d *Decoder) parseHead(text string) *Error {
 	line, text, err := cutLine(text)
 	if err != nil {
@@ -97,7 +99,7 @@
 }
 
 // cutLine returns the first line of s, without its line end, and the rest of s. It rejects a carriage
-// return without a line feed, and the reverse.
+// return without a line feed, and a line feed without a carriage return.
 func cutLine(s string) (line, rest string, err *Error) {
 	end := strings.IndexByte(s, '\r')
 	if end < 0 {
--- a/internal/netio/http1/header.go
+++ b/internal/netio/http1/header.go
@@ -1,9 +1,10 @@
 package http1
 
-// Field is one header field. Name keeps the case in which the sender wrote it; use HasName to compare names.
+// Field is one header field. Name keeps the case in which the sender wrote the name. Use HasName to compare
+// names.
 type Field struct{ Name, Value string }
 
-// HasName reports whether the field has the given name, ignoring case.
+// HasName reports whether the field has the given name. The comparison ignores case.
 func (f *Field) HasName(name string) bool { return equalFold(f.Name, name) }
 
 // Header holds the header fields of a message in the order in which they were received.
@@ -31,27 +32,28 @@
 
 // Head is the start line and header of a message.
 type Head struct {
-	// Method and Target are set for requests.
+	// Method and Target are set for requests only.
 	Method, Target string
-	// Status and ReasonPhrase are set for responses.
+	// Status and ReasonPhrase are set for responses only.
 	Status       int
 	ReasonPhrase string
 
-	// MinorVersion is the minor version of HTTP, such as 1 for HTTP/1.1.
+	// MinorVersion is the minor version of HTTP that the message uses, such as 1 for HTTP/1.1.
 	MinorVersion int
 	Header       Header
-	// BodyLength is the length of the body in bytes, or -1 if the body is chunked or ends with the
-	// connection.
+	// BodyLength is the length of the body in bytes, or -1 if the body is chunked or ends when the
+	// connection is closed.
 	BodyLength int64
 	// Chunked reports that the body uses the chunked transfer coding.
 	Chunked bool
-	// CloseConnection reports that the connection is closed after this message.
+	// CloseConnection reports that the connection must be closed after this message.
 	CloseConnection bool
 	// ExpectContinue reports that the client waits for a 100 Continue response before it sends the body.
 	ExpectContinue bool
 }
 
-// splitList splits a comma-separated list and omits empty elements.
+// splitList returns the elements of a comma-separated list, without empty elements and without whitespace
+// around the elements.
 func splitList(s string) []string {
 	var elements []string
 	for s != "" {
@@ -85,8 +87,8 @@
 
 func isWhitespace(c byte) bool { return c == ' ' || c == '\t' }
 
-// isControlByte marks the control characters that are not allowed in a field value or chunk extension. Tabs
-// are allowed.
+// isControlByte is true for the control characters that are not allowed in a field value or chunk
+// extension. Tabs are allowed.
 var isControlByte = func() (table [256]bool) {
 	for c := range byte(' ') {
 		table[c] = c != '\t'
@@ -125,7 +127,7 @@
 	return true
 }
 
-// isTokenByte marks the bytes that are allowed in a token (RFC 9110, section 5.6.2).
+// isTokenByte is true for the bytes that are allowed in a token (RFC 9110, section 5.6.2).
 var isTokenByte = func() (table [256]bool) {
 	for _, c := range []byte("!#$%&'*+-.^_`|~0123456789ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz") {
 		table[c] = true
--- a/internal/netio/http1/http1_test.go
+++ b/internal/netio/http1/http1_test.go
@@ -17,8 +17,8 @@
 	body []byte
 }
 
-// decodeAll writes the stream to the decoder in pieces of the given size. It returns the complete messages
-// and the error that ended decoding.
+// decodeAll writes the stream to the decoder in pieces of pieceBytes bytes. It returns the complete
+// messages and the error that ended the decoding, if any.
 func decodeAll(decoder *Decoder, stream []byte, pieceBytes int) (messages []decodedMessage, err error) {
 	var pending, body []byte
 	for len(stream) > 0 || len(pending) > 0 {
@@ -53,7 +53,7 @@
 
 var requestCases = []struct {
 	name, in string
-	// status is the status code of the rejection, or 0 if the request is accepted.
+	// status is the status code with which the decoder must reject the request, or 0 if it must accept it.
 	status int
 	body   string
 }{
@@ -63,34 +63,34 @@
 	{"chunked body with an extension and a trailer", "POST /x HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n2;x=y\r\nde\r\n0\r\nT: v\r\n\r\n", 0, "abcde"},
 	{"HTTP/1.0 needs no Host field", "GET / HTTP/1.0\r\n\r\n", 0, ""},
 	{"HTTP/1.1 without a Host field", "GET / HTTP/1.1\r\n\r\n", 400, ""},
-	{"two Host fields", "GET / HTTP/1.1\r\nHost: a\r\nHost: b\r\n\r\n", 400, ""},
+	{"request with two Host fields", "GET / HTTP/1.1\r\nHost: a\r\nHost: b\r\n\r\n", 400, ""},
 	{"two equal Content-Length fields", "POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 3\r\nContent-Length: 3\r\n\r\nabc", 400, ""},
 	{"Content-Length with a list of values", "POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 3, 3\r\n\r\nabc", 400, ""},
 	{"Content-Length with a sign", "POST / HTTP/1.1\r\nHost: a\r\nContent-Length: +3\r\n\r\nabc", 400, ""},
 	{"Content-Length with too many digits", "POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 99999999999999999999\r\n\r\n", 400, ""},
 	{"Content-Length and Transfer-Encoding together", "POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", 400, ""},
-	{"chunked body in HTTP/1.0", "POST / HTTP/1.0\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", 400, ""},
+	{"chunked body in an HTTP/1.0 request", "POST / HTTP/1.0\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", 400, ""},
 	{"transfer coding other than chunked", "POST / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: gzip, chunked\r\n\r\n", 501, ""},
 	{"folded header line", "GET / HTTP/1.1\r\nHost: a\r\nX: a\r\n b\r\n\r\n", 400, ""},
-	{"carriage return without line feed", "GET / HTTP/1.1\r\nHost: a\rb\r\n\r\n", 400, ""},
-	{"line feeds without carriage return", "GET / HTTP/1.1\nHost: a\n\n", 400, ""},
+	{"carriage return without a line feed in a header field", "GET / HTTP/1.1\r\nHost: a\rb\r\n\r\n", 400, ""},
+	{"all lines end with a line feed only", "GET / HTTP/1.1\nHost: a\n\n", 400, ""},
 	{"space between field name and colon", "GET / HTTP/1.1\r\nHost : a\r\n\r\n", 400, ""},
 	{"header field without a name", "GET / HTTP/1.1\r\nHost: a\r\n: x\r\n\r\n", 400, ""},
 	{"control character in a field value", "GET / HTTP/1.1\r\nHost: a\r\nX: a\x01b\r\n\r\n", 400, ""},
 	{"chunk size with a 0x prefix", "POST / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n0x3\r\nabc\r\n0\r\n\r\n", 400, ""},
-	{"empty chunk size", "POST / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n\r\nabc\r\n", 400, ""},
+	{"chunk line without a chunk size", "POST / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n\r\nabc\r\n", 400, ""},
 	{"chunk data longer than the chunk size", "POST / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabcd\r\n0\r\n\r\n", 400, ""},
 	{"chunk size with too many digits", "POST / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\nfffffffffffffffff\r\n", 400, ""},
 	{"chunk line that ends with a line feed only", "POST / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n3\nabc\r\n0\r\n\r\n", 400, ""},
 	{"method that is not a token", "G(T / HTTP/1.1\r\nHost: a\r\n\r\n", 400, ""},
 	{"two spaces after the method", "GET  / HTTP/1.1\r\nHost: a\r\n\r\n", 400, ""},
 	{"unsupported HTTP version", "GET / HTTP/2.0\r\nHost: a\r\n\r\n", 505, ""},
-	{"unknown expectation", "GET / HTTP/1.1\r\nHost: a\r\nExpect: tea\r\n\r\n", 417, ""},
+	{"unknown expectation in the Expect field", "GET / HTTP/1.1\r\nHost: a\r\nExpect: tea\r\n\r\n", 417, ""},
 	{"Content-Length over the body limit", "POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 1025\r\n\r\n", 413, ""},
 	{"chunk size over the body limit", "POST / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n401\r\n", 413, ""},
 	{"request line over its limit", "GET /" + strings.Repeat("a", 300) + " HTTP/1.1\r\nHost: a\r\n\r\n", 414, ""},
 	{"header over its limit", "GET / HTTP/1.1\r\nHost: a\r\nX: " + strings.Repeat("a", 600) + "\r\n\r\n", 431, ""},
-	{"too many header fields", "GET / HTTP/1.1\r\nHost: a\r\n" + strings.Repeat("A: b\r\n", 10) + "\r\n", 431, ""},
+	{"more header fields than the limit allows", "GET / HTTP/1.1\r\nHost: a\r\n" + strings.Repeat("A: b\r\n", 10) + "\r\n", 431, ""},
 	{"trailer section over its limit", "POST / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n0\r\nX: " + strings.Repeat("a", 200) + "\r\n\r\n", 431, ""},
 }
 
@@ -104,12 +104,12 @@
 				if test.status != 0 {
 					var rejection *Error
 					if !errors.As(err, &rejection) || rejection.Status != test.status {
-						t.Errorf("decoding the request ended with error %v, want a rejection with status %d", err, test.status)
+						t.Errorf("decoding the request ended with error %v, want an *Error with status %d", err, test.status)
 					}
 					return
 				}
 				if err != nil || len(messages) != 1 || string(messages[0].body) != test.body {
-					t.Errorf("got %d messages and error %v; want 1 message with the expected body and no error", len(messages), err)
+					t.Errorf("decoded %d messages and got error %v; want 1 message with the body of the test case and no error", len(messages), err)
 				}
 			})
 		}
@@ -134,27 +134,29 @@
 			decoder := &Decoder{Limits: smallLimits, DecodeResponses: true, ResponseHasNoBody: test.noBody}
 			messages, err := decodeAll(decoder, []byte(test.in), 1)
 			if rejected := err != nil; rejected != test.wantReject {
-				t.Fatalf("decoding the response ended with error %v, want a rejection: %t", err, test.wantReject)
+				t.Fatalf("decoding the response ended with error %v; want an error: %t", err, test.wantReject)
 			}
 			if !test.wantReject && (len(messages) != 1 || string(messages[0].body) != test.body) {
-				t.Errorf("got %d messages and error %v; want 1 message with the expected body and no error", len(messages), err)
+				t.Errorf("decoded %d messages and got error %v; want 1 message with the body of the test case and no error", len(messages), err)
 			}
 		})
 	}
 }
 
+// TestPipelineInOrder checks that all pipelined requests are decoded when the input is split within
+// requests.
 func TestPipelineInOrder(t *testing.T) {
 	request := "POST /%d HTTP/1.1\r\nHost: a\r\nContent-Length: 2\r\n\r\nab"
 	messages, err := decodeAll(&Decoder{Limits: smallLimits}, []byte(strings.Repeat(request, 500)), 7)
 	if err != nil || len(messages) != 500 {
-		t.Fatalf("decoded %d pipelined requests with error %v; want 500 without an error", len(messages), err)
+		t.Fatalf("decoded %d pipelined requests and got error %v; want 500 requests and no error", len(messages), err)
 	}
 }
 
 // mayRejectUnlikeNetHTTP reports whether this decoder may reject input that net/http accepts. Each
-// difference is intended: net/http accepts line feeds without carriage returns, a Content-Length that is
-// given twice with the same value, and request targets that are not paths; it trims whitespace before the
-// colon of every header field but the first; and it has other limits.
+// difference is intended. net/http accepts line feeds without carriage returns, two Content-Length fields
+// with the same value, and request targets that are not paths. It also ignores whitespace before the colon
+// of every header field but the first, and its limits differ.
 func mayRejectUnlikeNetHTTP(in []byte) bool {
 	text := string(in)
 	for i := range len(text) {
@@ -171,9 +173,10 @@
 		strings.Contains(lower, "http/1.0") || strings.Contains(lower, "http/1.2") || strings.Contains(lower, "connect ") || strings.Contains(lower, "host:") && strings.Count(lower, "host:") > 1
 }
 
-// FuzzRequest checks that the result does not depend on how the input is split, that nothing panics, that
-// requests which net/http rejects are rejected here too, and that methods and bodies are equal where both
-// accept a request.
+// FuzzRequest checks that the decoder never panics, and that its result does not depend on how the input is
+// split. It also compares the decoder with net/http. This decoder must reject each request that net/http
+// rejects, unless mayAcceptUnlikeNetHTTP covers the request. If both accept a request, they must decode the
+// same method and body.
 func FuzzRequest(f *testing.F) {
 	for _, test := range requestCases {
 		f.Add([]byte(test.in))
@@ -183,11 +186,11 @@
 		unsplit, unsplitErr := decodeAll(&Decoder{Limits: limits}, in, 1<<20)
 		split, splitErr := decodeAll(&Decoder{Limits: limits}, in, 1)
 		if (unsplitErr == nil) != (splitErr == nil) || len(unsplit) != len(split) {
-			t.Fatalf("decoded in one piece: %d messages, error %v; byte by byte: %d messages, error %v", len(unsplit), unsplitErr, len(split), splitErr)
+			t.Fatalf("decoding in one piece gives %d messages and error %v, but byte by byte it gives %d messages and error %v; want equal results", len(unsplit), unsplitErr, len(split), splitErr)
 		}
 		for i := range unsplit {
 			if !bytes.Equal(unsplit[i].body, split[i].body) {
-				t.Fatalf("the body of message %d differs between decoding in one piece and byte by byte", i)
+				t.Fatalf("the body of message %d depends on whether the input is decoded in one piece or byte by byte", i)
 			}
 		}
 		if len(unsplit) == 0 || len(in) > 4096 {
@@ -200,7 +203,7 @@
 		}
 		if err != nil {
 			if !mayAcceptUnlikeNetHTTP(in) {
-				t.Fatalf("this decoder accepts the request, but net/http rejects it: %v", err)
+				t.Fatalf("this decoder accepts the request, but net/http rejects it with error %v", err)
 			}
 			return
 		}
@@ -210,9 +213,10 @@
 	})
 }
 
-// mayAcceptUnlikeNetHTTP reports whether this decoder may accept a request that net/http rejects: one with
-// a target whose escapes are malformed (the API server itself responds with 400), with a Host field that is
-// not a valid host, with a minor version above 1, or with trailer fields that net/http forbids.
+// mayAcceptUnlikeNetHTTP reports whether this decoder may accept a request that net/http rejects. This
+// concerns requests with a malformed escape in the target, with a Host field that is not a valid host, with
+// a minor version above 1, or with trailer fields that net/http forbids. A malformed escape does no harm,
+// because the API server itself responds to it with status 400.
 func mayAcceptUnlikeNetHTTP(in []byte) bool {
 	line, rest, _ := strings.Cut(string(in), "\r\n")
 	for line == "" && rest != "" {
@@ -223,6 +227,7 @@
 		strings.Contains(strings.ToLower(rest), "chunked")
 }
 
+// FuzzResponse checks that the result of decoding responses does not depend on how the input is split.
 func FuzzResponse(f *testing.F) {
 	f.Add([]byte("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nab"))
 	f.Add([]byte("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n0\r\n\r\n"))
@@ -231,18 +236,20 @@
 		unsplit, unsplitErr := decodeAll(&Decoder{Limits: smallLimits, DecodeResponses: true}, in, 1<<20)
 		split, splitErr := decodeAll(&Decoder{Limits: smallLimits, DecodeResponses: true}, in, 1)
 		if (unsplitErr == nil) != (splitErr == nil) || len(unsplit) != len(split) {
-			t.Fatalf("decoded in one piece: %d messages, error %v; byte by byte: %d messages, error %v", len(unsplit), unsplitErr, len(split), splitErr)
+			t.Fatalf("decoding in one piece gives %d messages and error %v, but byte by byte it gives %d messages and error %v; want equal results", len(unsplit), unsplitErr, len(split), splitErr)
 		}
 	})
 }
 
-// acceptedByNetHTTP names the cases of requestCases that are rejected here but accepted by net/http. RFC
-// 9112 requires each rejection: see sections 3.2, 5.2, 5.1 and 2.3, in the order of the cases.
+// acceptedByNetHTTP holds the names of those requestCases that this decoder rejects although net/http
+// accepts them. RFC 9112 requires each rejection. The sections are 3.2, 5.2, 5.1 and 2.3, in the order of
+// the names.
 var acceptedByNetHTTP = map[string]bool{"HTTP/1.1 without a Host field": true, "folded header line": true, "space between field name and colon": true, "unsupported HTTP version": true}
 
-// TestAgainstNetHTTP checks that net/http accepts the requests of requestCases that are accepted here, and
-// rejects the others. It may accept those that exceed a limit or have an unknown expectation, and those
-// that mayRejectUnlikeNetHTTP or acceptedByNetHTTP cover.
+// TestAgainstNetHTTP checks that net/http accepts exactly those requestCases that this decoder accepts.
+// There are exceptions. net/http may reject a request that begins with an empty line. It may accept a
+// request that exceeds a limit, has an unknown expectation, or is covered by mayRejectUnlikeNetHTTP or
+// acceptedByNetHTTP.
 func TestAgainstNetHTTP(t *testing.T) {
 	for _, test := range requestCases {
 		req, err := http.ReadRequest(bufio.NewReader(strings.NewReader(test.in)))
@@ -252,9 +259,9 @@
 		onlyRejectedHere := test.status == 413 || test.status == 414 || test.status == 431 || test.status == 417
 		switch {
 		case test.status == 0 && err != nil && !strings.HasPrefix(test.in, "\r\n"):
-			t.Errorf("%s: this decoder accepts the request, but net/http rejects it: %v", test.name, err)
+			t.Errorf("case %q: this decoder accepts the request, but net/http rejects it with error %v", test.name, err)
 		case test.status != 0 && err == nil && !onlyRejectedHere && !mayRejectUnlikeNetHTTP([]byte(test.in)) && !acceptedByNetHTTP[test.name]:
-			t.Errorf("%s: this decoder rejects the request, but net/http accepts it, and it is not a listed difference", test.name)
+			t.Errorf("case %q: this decoder rejects the request, but net/http accepts it, and neither mayRejectUnlikeNetHTTP nor acceptedByNetHTTP covers the case", test.name)
 		}
 	}
 }
--- a/internal/netio/http1/limits.go
+++ b/internal/netio/http1/limits.go
@@ -8,15 +8,16 @@
 
 // Limits restricts the size of one message.
 type Limits struct {
-	// StartLineBytes limits the request line or status line.
+	// StartLineBytes limits the length of the request line or status line.
 	StartLineBytes int
-	// HeadBytes limits the start line and header fields together.
+	// HeadBytes limits the length of the start line and the header together.
 	HeadBytes int
 	// HeaderFields limits the number of header fields.
 	HeaderFields int
-	// BodyBytes limits the body, without chunk framing. The value 0 means that there is no limit.
+	// BodyBytes limits the length of the body, not counting the chunk framing. The value 0 means that there
+	// is no limit.
 	BodyBytes int
-	// TrailerBytes limits the trailer section.
+	// TrailerBytes limits the length of the trailer section of a chunked body.
 	TrailerBytes int
 }
 
@@ -31,7 +32,7 @@
 	}
 }
 
-// Error says why a message was rejected. A server sends both fields to the client.
+// Error tells why a message was rejected. A server sends both fields to the client in its response.
 type Error struct {
 	// Status is the status code of the response that reports the error.
 	Status int
--- a/internal/netio/http1/message.go
+++ b/internal/netio/http1/message.go
@@ -8,8 +8,8 @@
 	Peer string
 }
 
-// Response is one response. Its body is either Body or, if Stream is set, what the stream produces while it
-// is sent.
+// Response is one response. Its body is either Body or, if Stream is set, the data that the stream produces
+// while the response is sent.
 type Response struct {
 	Status int
 	Header []Field
@@ -17,12 +17,14 @@
 	Stream Stream
 }
 
-// Stream is a response body that is produced while it is sent.
+// Stream is a response body that is produced while it is sent. The server calls Pull to get the next data
+// of the body, and sends that data to the client.
 type Stream interface {
-	// Pull appends the data that is ready to be sent to b, at most about maxBytes, and reports whether the
-	// body is complete. If it appends nothing and the body is not complete, it is called again when new
-	// data may be ready.
+	// Pull appends to b the data of the body that is ready, at most about maxBytes, and reports whether the
+	// body is complete. If Pull appends nothing although the body is not complete, the server calls it
+	// again when new data may be ready.
 	Pull(b []byte, maxBytes int) (out []byte, done bool)
-	// Close is called once. Pull is not called after it.
+	// Close is called once, when the server needs no more data from the stream. Pull is not called after
+	// Close.
 	Close()
 }
--- a/internal/netio/http1/status.go
+++ b/internal/netio/http1/status.go
@@ -64,10 +64,11 @@
 }
 
 // unknownStatusText is the reason phrase for status codes that statusTexts does not contain. Clients ignore
-// it.
+// the reason phrase.
 const unknownStatusText = "Status"
 
-// StatusText returns the reason phrase of a status code.
+// StatusText returns the reason phrase of a status code, or unknownStatusText if this module does not use
+// the code.
 func StatusText(status int) string {
 	if text := statusTexts[status]; text != "" {
 		return text
--- a/internal/netio/http1/write.go
+++ b/internal/netio/http1/write.go
@@ -2,7 +2,7 @@
 
 import "strconv"
 
-// AppendStatusLine appends a status line.
+// AppendStatusLine appends the status line of a response to b.
 func AppendStatusLine(b []byte, status int) []byte {
 	b = append(b, "HTTP/1.1 "...)
 	b = strconv.AppendInt(b, int64(status), 10)
@@ -11,7 +11,7 @@
 	return append(b, "\r\n"...)
 }
 
-// AppendRequestLine appends a request line.
+// AppendRequestLine appends a request line to b.
 func AppendRequestLine(b []byte, method, target string) []byte {
 	b = append(b, method...)
 	b = append(b, ' ')
@@ -19,7 +19,7 @@
 	return append(b, " HTTP/1.1\r\n"...)
 }
 
-// AppendField appends one header field. Carriage returns, line feeds and NUL bytes in the value are
+// AppendField appends one header field to b. Carriage returns, line feeds and NUL bytes in the value are
 // replaced by spaces; otherwise a value could inject further header fields.
 func AppendField(b []byte, name, value string) []byte {
 	b = append(b, name...)
@@ -34,15 +34,15 @@
 	return append(b, "\r\n"...)
 }
 
-// AppendContentLength appends a Content-Length field.
+// AppendContentLength appends a Content-Length field to b.
 func AppendContentLength(b []byte, length int) []byte {
 	b = append(b, "Content-Length: "...)
 	b = strconv.AppendInt(b, int64(length), 10)
 	return append(b, "\r\n"...)
 }
 
-// AppendChunk appends one chunk. If data is empty it appends nothing, because an empty chunk would end the
-// body.
+// AppendChunk appends one chunk to b. If data is empty, it appends nothing, because an empty chunk would
+// end the body.
 func AppendChunk(b, data []byte) []byte {
 	if len(data) == 0 {
 		return b
