--- a/internal/netio/httpc/call.go
+++ b/internal/netio/httpc/call.go
@@ -7,26 +7,27 @@
 	"heathshed/internal/netio/http1"
 )
 
-// Call is one request and its response. The exported fields must be set before the call is passed to
-// Client.Do.
+// Call is one request and its response. The caller must set the exported fields before it passes the call
+// to Client.Do.
 type Call struct {
 	// OnDone is called once, with the response or with an error. The error is a *ConnectError if the
 	// request was never sent. head and body are valid only until OnDone returns.
 	OnDone func(head *http1.Head, body []byte, err error)
-	// OnBodyData, if set, receives the body of a 2xx response in pieces as they arrive. OnDone then
-	// receives no body.
+	// OnBodyData, if set, makes the call a streaming call. OnBodyData then receives the body of a 2xx
+	// response in pieces as they arrive, and OnDone receives no body of such a response.
 	OnBodyData func(b []byte)
 	// OnResponseHead, if set, is called when the status line and header of the response have been received.
 	OnResponseHead func(head *http1.Head)
-	// AvoidUnknownOutcome is set for a request that is not idempotent. It is then not sent on a connection that
-	// has been idle for longer than MaxIdleNonIdempotent of the pool policy. The server may close such a
-	// connection at the same moment, and the client could not tell whether the request was read.
+	// AvoidUnknownOutcome must be set if the request is not idempotent. The client then does not send the
+	// request on a connection that has been idle for longer than MaxIdleNonIdempotent of the pool policy.
+	// The server may be closing such a connection at that moment, and the client could not tell whether the
+	// server has read the request.
 	AvoidUnknownOutcome bool
 
 	client *Client
-	// request is the encoded request.
+	// request holds the encoded request, which is sent as it is.
 	request []byte
-	// conn is the connection of the call. It is nil while the call waits for one.
+	// conn is the connection on which the request is sent. It is nil while the call waits for a connection.
 	conn         *conn
 	timeoutTimer *eventloop.Timer
 	finished     bool
--- a/internal/netio/httpc/client.go
+++ b/internal/netio/httpc/client.go
@@ -1,8 +1,8 @@
 //go:build linux
 
 // Package httpc implements an HTTP/1.1 client on the event loop. A Client sends requests to one server. A
-// Call receives either the complete response or, if it is streaming, the pieces of the response body as
-// they arrive.
+// Call receives either the complete response or, if it is a streaming call, the pieces of the response body
+// as they arrive.
 package httpc
 
 import (
@@ -18,23 +18,26 @@
 const (
 	defaultConnectTimeout       = time.Second
 	defaultMaxResponseBodyBytes = 64 << 20
-	// requestHeadCapacity is the number of bytes that are allocated up front for the head of a request.
+	// requestHeadCapacity is the number of bytes that are allocated for the head of a request before it is
+	// encoded.
 	requestHeadCapacity = 256
 )
 
 var (
 	// ErrTimeout means that the response to a call was not complete within the timeout of the call.
 	ErrTimeout = errors.New("call timed out")
-	// ErrCancelled means that Call.Cancel was called, or Client.Close while the call waited for a connection.
+	// ErrCancelled means that Call.Cancel was called, or that Client.Close was called while the call waited
+	// for a connection.
 	ErrCancelled = errors.New("call cancelled")
 )
 
-// ConnectError means that the request was never sent, because the call had no established connection.
+// ConnectError means that the request was never sent, because no connection had been established for the
+// call.
 type ConnectError struct{ Err error }
 
 func (e *ConnectError) Error() string { return e.Err.Error() }
 
-// Unwrap returns the underlying error.
+// Unwrap returns the error that kept the request from being sent.
 func (e *ConnectError) Unwrap() error { return e.Err }
 
 // Client sends requests to one server. Its methods may be called only on the goroutine of the loop.
@@ -47,12 +50,14 @@
 	loop      *eventloop.Loop
 	addr      string
 	idleConns []*conn
-	// idleAges is a buffer that chooseConn reuses.
+	// idleAges is a buffer that chooseConn reuses. It holds how long each connection in idleConns has been
+	// idle.
 	idleAges []time.Duration
-	// openSharedConns counts the connections that are open or being established, without those of streaming
-	// calls.
+	// openSharedConns counts the connections that are open or being established, except for those of
+	// streaming calls.
 	openSharedConns int
-	// waitingCalls holds the calls that wait for a connection, in order.
+	// waitingCalls holds the calls that wait for a connection, in the order in which they were passed to
+	// Do.
 	waitingCalls []*Call
 }
 
@@ -72,8 +77,8 @@
 // Addr returns the address of the server.
 func (c *Client) Addr() string { return c.addr }
 
-// Do sends a request and returns call. A timeout other than zero limits the time until the response is
-// complete.
+// Do sends a request and returns call, which receives the response. If timeout is not zero, it limits the
+// time until the response is complete.
 func (c *Client) Do(method, target string, header []http1.Field, body []byte, timeout time.Duration, call *Call) *Call {
 	call.client = c
 	call.request = c.appendRequest(make([]byte, 0, requestHeadCapacity+len(body)), method, target, header, body)
@@ -102,8 +107,8 @@
 	return method == "POST" || method == "PUT" || method == "PATCH"
 }
 
-// assignConn sends the request of a call on an idle connection, opens a new connection for it, or makes it
-// wait for one. A streaming call always gets a new connection.
+// assignConn sends the request of a call on an idle connection, opens a new connection for the call, or
+// makes the call wait for a connection. A streaming call always gets a new connection.
 func (c *Client) assignConn(call *Call) {
 	if call.OnBodyData != nil {
 		c.dial(call)
@@ -123,8 +128,8 @@
 	}
 }
 
-// chooseConn asks the pool policy which connection the call uses, and closes the idle connections that are
-// stale.
+// chooseConn asks the pool policy which connection the call uses, and closes the idle connections that the
+// policy reports as stale.
 func (c *Client) chooseConn(call *Call) (connpool.Action, *conn) {
 	c.idleAges = c.idleAges[:0]
 	for _, connection := range c.idleConns {
@@ -135,8 +140,8 @@
 	if decision.Action == connpool.UseIdle || decision.Action == connpool.ReplaceIdle {
 		chosen = c.idleConns[decision.Index]
 	}
-	// The stale connections are collected first, because closing one changes idleConns, to which the
-	// indices refer.
+	// The stale connections are collected first, because closing a connection changes idleConns, to which
+	// the indices refer.
 	staleConns := make([]*conn, 0, len(decision.Stale))
 	for _, i := range decision.Stale {
 		staleConns = append(staleConns, c.idleConns[i])
@@ -174,8 +179,8 @@
 	connection.transport = transport
 }
 
-// startNextWaitingCall starts the first waiting call on freeConn or, if that is nil, on the connection that
-// the pool policy chooses. If no call waits, freeConn becomes idle.
+// startNextWaitingCall starts the first waiting call on freeConn or, if freeConn is nil, passes the call to
+// assignConn. If no call waits, freeConn becomes idle.
 func (c *Client) startNextWaitingCall(freeConn *conn) {
 	for len(c.waitingCalls) > 0 {
 		call := c.waitingCalls[0]
@@ -195,15 +200,15 @@
 	}
 }
 
-// removeIdleConn removes a connection from the idle connections, if it is one of them.
+// removeIdleConn removes a connection from idleConns, if idleConns contains it.
 func (c *Client) removeIdleConn(connection *conn) {
 	if i := slices.Index(c.idleConns, connection); i >= 0 {
 		c.idleConns = slices.Delete(c.idleConns, i, i+1)
 	}
 }
 
-// Close closes idle connections and fails the calls that wait for a connection. Calls that have a
-// connection continue.
+// Close closes the idle connections and ends the calls that wait for a connection with an error. Calls that
+// have a connection continue.
 func (c *Client) Close() {
 	c.CloseIdle()
 	waiting := c.waitingCalls
--- a/internal/netio/httpc/conn.go
+++ b/internal/netio/httpc/conn.go
@@ -18,8 +18,8 @@
 	// call is the call that the connection carries. It is nil if the connection is idle.
 	call        *Call
 	established bool
-	// dedicatedToStream reports that the connection carries a streaming call. It is not reused for another
-	// call.
+	// dedicatedToStream reports that the connection was opened for a streaming call. Such a connection is
+	// not reused for another call.
 	dedicatedToStream bool
 	idleSince         clock.Instant
 }
@@ -72,7 +72,7 @@
 	}
 }
 
-// handleDecoderEvent handles the part of a response that the decoder has completed.
+// handleDecoderEvent handles the part of a response that the decoder has just decoded.
 func (c *conn) handleDecoderEvent(event http1.Event) {
 	call := c.call
 	head := &c.decoder.Head
@@ -94,12 +94,12 @@
 	}
 }
 
-// isInterim reports whether the response has a 1xx status, which means that another response to the request
-// follows.
+// isInterim reports whether the response has a 1xx status. Such a response is followed by another response
+// to the same request.
 func isInterim(head *http1.Head) bool { return head.Status < http1.StatusOK }
 
-// completeCall finishes a call whose response is complete. If the connection can be reused, it starts the
-// next waiting call on it or makes it idle.
+// completeCall finishes a call whose response is complete. If the connection can be reused, completeCall
+// starts the next waiting call on it, or makes the connection idle if no call waits.
 func (c *conn) completeCall() {
 	call := c.call
 	c.call = nil
@@ -132,8 +132,8 @@
 	c.client.startNextWaitingCall(nil)
 }
 
-// finishCallOnClose finishes a call whose connection was closed. The call succeeds if the close marks the
-// end of the response body, and fails otherwise.
+// finishCallOnClose finishes a call whose connection was closed. The call succeeds if closing the
+// connection marks the end of the response body, and fails otherwise.
 func (c *conn) finishCallOnClose(call *Call, err error) {
 	if !c.established {
 		call.finish(nil, nil, &ConnectError{err})
--- a/internal/netio/httpc/httpc_test.go
+++ b/internal/netio/httpc/httpc_test.go
@@ -18,7 +18,7 @@
 
 const testTimeout = 10 * time.Second
 
-// callResult holds the arguments that OnDone received.
+// callResult holds the response and the error that a call passed to OnDone.
 type callResult struct {
 	status int
 	body   string
@@ -38,9 +38,9 @@
 	return listener.Addr().String()
 }
 
-// startFixedResponseServer starts a server that answers the first request on each connection with fixed
-// bytes. It then closes the connection, or keeps it open until the client closes it. It returns the address
-// of the server.
+// startFixedResponseServer starts a server that responds to the first request on each connection with fixed
+// bytes. The server then closes the connection or, if keepOpen is set, waits until the client closes it.
+// The function returns the address of the server.
 func startFixedResponseServer(t *testing.T, response string, keepOpen bool) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -65,7 +65,7 @@
 }
 
 func serveFixedResponse(conn net.Conn, response string, keepOpen bool) {
-	defer func() { _ = conn.Close() }() // The client may have closed the connection already.
+	defer func() { _ = conn.Close() }() // The error is ignored, because the client may have closed the connection already.
 	if _, err := conn.Read(make([]byte, 4096)); err != nil {
 		return
 	}
@@ -73,11 +73,12 @@
 		return
 	}
 	if keepOpen {
-		_, _ = io.Copy(io.Discard, conn) // This blocks until the client closes the connection.
+		_, _ = io.Copy(io.Discard, conn) // Copy blocks until the client closes the connection.
 	}
 }
 
-// doAndWait makes a call on the loop and returns the result that OnDone receives.
+// doAndWait makes a call on the loop and returns the result that OnDone receives. If prepare is not nil, it
+// is called on the loop directly after Client.Do.
 func doAndWait(t *testing.T, loop *eventloop.Loop, addr, method string, timeout time.Duration, prepare func(*Call)) callResult {
 	t.Helper()
 	results := make(chan callResult, 2)
@@ -98,7 +99,7 @@
 	case got := <-results:
 		return got
 	case <-time.After(testTimeout):
-		t.Fatal("OnDone was not called within the test timeout")
+		t.Fatal("OnDone was not called within testTimeout")
 		return callResult{}
 	}
 }
@@ -115,30 +116,30 @@
 		{name: "chunked body", method: "GET", response: "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n0\r\n\r\n", keepOpen: true, status: 200, body: "ab"},
 		{name: "body that ends with the connection", method: "GET", response: "HTTP/1.1 200 OK\r\n\r\nab", status: 200, body: "ab"},
 		{name: "response to HEAD has no body", method: "HEAD", response: "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n", keepOpen: true, status: 200},
-		{name: "final response after an interim response", method: "POST", response: "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 201 Created\r\nContent-Length: 1\r\n\r\nx", keepOpen: true, status: 201, body: "x"},
+		{name: "interim response is followed by the final response", method: "POST", response: "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 201 Created\r\nContent-Length: 1\r\n\r\nx", keepOpen: true, status: 201, body: "x"},
 		{name: "response with an error status", method: "GET", response: "HTTP/1.1 503 x\r\nContent-Length: 4\r\n\r\nbusy", keepOpen: true, status: 503, body: "busy"},
-		{name: "connection closed within the body", method: "GET", response: "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nab", wantErr: ": connection broke: EOF"},
-		{name: "connection closed without a response", method: "GET", wantErr: ": connection broke: EOF"},
-		{name: "malformed status line", method: "GET", response: "HTTP/1.1 2x0 OK\r\n\r\n", keepOpen: true, wantErr: ": http: malformed status"},
+		{name: "server closes the connection within the body", method: "GET", response: "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nab", wantErr: ": connection broke: EOF"},
+		{name: "server closes the connection without a response", method: "GET", wantErr: ": connection broke: EOF"},
+		{name: "status code that is not a number", method: "GET", response: "HTTP/1.1 2x0 OK\r\n\r\n", keepOpen: true, wantErr: ": http: malformed status"},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			got := doAndWait(t, loop, startFixedResponseServer(t, test.response, test.keepOpen), test.method, 5*time.Second, nil)
 			if test.wantErr != "" {
 				var connectError *ConnectError
 				if got.err == nil || !strings.Contains(got.err.Error(), test.wantErr) || errors.As(got.err, &connectError) {
-					t.Fatalf("call failed with error %v, want one that contains %q and is no *ConnectError", got.err, test.wantErr)
+					t.Fatalf("the call ended with error %v; want an error that contains %q and is not a *ConnectError", got.err, test.wantErr)
 				}
 				return
 			}
 			if got.err != nil || got.status != test.status || got.body != test.body {
-				t.Fatalf("got status %d, body %q and error %v; want the status and body that the server sent and no error", got.status, got.body, got.err)
+				t.Fatalf("the call ended with status %d, body %q and error %v; want the status and body of the test case and no error", got.status, got.body, got.err)
 			}
 		})
 	}
 }
 
-// TestStream checks that OnBodyData receives the body in pieces and that OnDone is called at its end
-// without a body.
+// TestStream checks that a streaming call passes the response body to OnBodyData, and that OnDone is called
+// without a body when the response is complete.
 func TestStream(t *testing.T) {
 	loop := looptest.Start(t)
 	var pieces strings.Builder
@@ -155,12 +156,12 @@
 		})
 	})
 	if got := <-results; got.err != nil || got.status != 200 || got.body != "abc" {
-		t.Errorf("got status %d, body %q and error %v; want status 200, body \"abc\" and no error", got.status, got.body, got.err)
+		t.Errorf("the streaming call ended with status %d, body %q and error %v; want status 200, body \"abc\" and no error", got.status, got.body, got.err)
 	}
 }
 
-// TestErrors checks that the error is a *ConnectError exactly if the request was never sent. Callers rely
-// on this to know whether the server may have read the request.
+// TestErrors checks that the error of a failed call is a *ConnectError exactly if the request was never
+// sent. Callers use this to tell whether the server may have read the request.
 func TestErrors(t *testing.T) {
 	loop := looptest.Start(t)
 	unusedAddr := unusedAddress(t)
@@ -172,31 +173,32 @@
 		name, addr string
 		timeout    time.Duration
 		prepare    func(*Call)
-		// want is the error that the result must wrap. If it is nil, any error will do.
+		// want is the error that the error of the call must wrap. If it is nil, any error is accepted.
 		want      error
 		neverSent bool
 	}{
 		{name: "nothing listens at the address", addr: unusedAddr, timeout: 5 * time.Second, neverSent: true},
 		{name: "host name instead of a literal address", addr: "host:1", timeout: 5 * time.Second, neverSent: true},
-		{name: "cancelled before the connection is established", addr: silentServer, prepare: (*Call).Cancel, want: ErrCancelled, neverSent: true},
-		{name: "cancelled after the request was sent", addr: silentServer, prepare: cancelAfter(200 * time.Millisecond), want: ErrCancelled},
+		{name: "call is cancelled before its connection is established", addr: silentServer, prepare: (*Call).Cancel, want: ErrCancelled, neverSent: true},
+		{name: "call is cancelled after its request was sent", addr: silentServer, prepare: cancelAfter(200 * time.Millisecond), want: ErrCancelled},
 		{name: "no response within the timeout", addr: silentServer, timeout: 200 * time.Millisecond, want: ErrTimeout},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			got := doAndWait(t, loop, test.addr, "GET", test.timeout, test.prepare)
 			var connectError *ConnectError
 			if neverSent := errors.As(got.err, &connectError); got.err == nil || neverSent != test.neverSent {
-				t.Errorf("call failed with error %v, which says that the request was never sent: %t, want %t", got.err, neverSent, test.neverSent)
+				t.Errorf("the call ended with error %v; is it a *ConnectError, which means that the request was never sent: got %t, want %t", got.err, neverSent, test.neverSent)
 			}
 			if test.want != nil && !errors.Is(got.err, test.want) {
-				t.Errorf("call failed with error %v, want %v", got.err, test.want)
+				t.Errorf("the call ended with error %v, want an error that wraps %v", got.err, test.want)
 			}
 		})
 	}
 }
 
-// TestCloseFailsWaitingCalls checks that calls over the connection limit of the pool wait, and that Close
-// fails those that wait. The call that has a connection continues until its timeout.
+// TestCloseFailsWaitingCalls checks that calls wait for a connection when the limit of the pool is reached,
+// and that Client.Close ends the waiting calls with ErrCancelled. The call that has a connection continues
+// until its timeout.
 func TestCloseFailsWaitingCalls(t *testing.T) {
 	loop := looptest.Start(t)
 	addr := startFixedResponseServer(t, "", true)
@@ -216,10 +218,10 @@
 		if err := <-results; errors.Is(err, ErrCancelled) {
 			cancelled++
 		} else if !errors.Is(err, ErrTimeout) {
-			t.Errorf("call failed with %v, want ErrCancelled or ErrTimeout", err)
+			t.Errorf("the call ended with error %v, want ErrCancelled or ErrTimeout", err)
 		}
 	}
 	if cancelled != calls-1 {
-		t.Errorf("Close cancelled %d of %d calls, want all but the one that has a connection", cancelled, calls)
+		t.Errorf("Client.Close cancelled %d of %d calls, want all but the one call that has a connection", cancelled, calls)
 	}
 }
