--- a/internal/netio/eventloop/eventloop.go
+++ b/internal/netio/eventloop/eventloop.go
@@ -174,7 +174,8 @@
 	_, _ = unix.Read(l.eventFD, counter[:])
 }
 
-// Run handles events until Stop is called. It then closes all descriptors without calling the handlers again.
+// Run handles events until Stop is called. It then closes all descriptors of the loop without calling the
+// handlers again.
 func (l *Loop) Run() error {
 	defer l.close()
 	events := make([]unix.EpollEvent, maxEpollEvents)
@@ -212,7 +213,8 @@
 	case wait > maxEpollWait:
 		return int(maxEpollWait.Milliseconds())
 	}
-	// The timeout is rounded up to whole milliseconds; otherwise epoll_wait would return before the timer is due.
+	// The timeout is rounded up to whole milliseconds. Without this, epoll_wait would return before the
+	// timer is due.
 	return int(wait.Milliseconds()) + 1
 }
 
--- a/internal/netio/httpd/httpd_test.go
+++ b/internal/netio/httpd/httpd_test.go
@@ -93,7 +93,8 @@
 	return body
 }
 
-// TestAgainstNetHTTPClient checks which responses the client of net/http receives to requests of several kinds.
+// TestAgainstNetHTTPClient checks the responses that a client of net/http receives to requests of several
+// kinds.
 func TestAgainstNetHTTPClient(t *testing.T) {
 	options := DefaultOptions()
 	options.Limits.BodyBytes = 100
--- a/internal/netio/httpd/server.go
+++ b/internal/netio/httpd/server.go
@@ -40,8 +40,8 @@
 	// OutputHighWaterMark limits the queued output of a connection in bytes. While more output is queued,
 	// the connection pulls no data from its response stream and reads no further request.
 	OutputHighWaterMark int
-	// MemoryQuotaBytes limits the buffer memory of all connections together. Package memquota describes
-	// which connections are closed when the limit is exceeded.
+	// MemoryQuotaBytes limits the buffer memory of all connections together. When they exceed it, the
+	// server closes the connections that Budget.ConnectionToEvict of package memquota selects.
 	MemoryQuotaBytes int64
 }
 
