--- a/internal/netio/eventloop/conn.go
+++ b/internal/netio/eventloop/conn.go
@@ -54,7 +54,7 @@
 	loop    *Loop
 	handler Handler
 	fd      int
-	// generation distinguishes the connection from earlier ones with the same descriptor.
+	// generation distinguishes the connection from earlier connections with the same descriptor.
 	generation int32
 	peer       netip.AddrPort
 	// registeredEvents is the set of epoll events that is registered for the descriptor.
--- a/internal/netio/eventloop/eventloop.go
+++ b/internal/netio/eventloop/eventloop.go
@@ -72,7 +72,8 @@
 	// their buffer to it.
 	spareOutputBuffers [][]byte
 
-	// postMu guards postedFuncs and stopped, and keeps eventFD open while it is written.
+	// postMu guards postedFuncs and stopped. It is also held while eventFD is written or closed, which
+	// rules out a write to a closed descriptor.
 	postMu      sync.Mutex
 	postedFuncs []func()
 	stopped     bool
@@ -160,7 +161,7 @@
 // the eventfd readable.
 var wakeSignal = []byte{1, 0, 0, 0, 0, 0, 0, 0}
 
-// wakeEpollWait interrupts epoll_wait in Run. The caller must hold postMu, because close may close the
+// wakeEpollWait interrupts epoll_wait in Run. The caller must hold postMu, because Loop.close may close the
 // eventfd as soon as postMu is free.
 func (l *Loop) wakeEpollWait() {
 	// Write fails only if the counter is at its maximum. The eventfd is readable in that case too.
--- a/internal/netio/http1/chunked.go
+++ b/internal/netio/http1/chunked.go
@@ -3,8 +3,8 @@
 import "bytes"
 
 const (
-	// maxChunkLineBytes limits the length of a chunk line, which is the line before the data of a chunk. It
-	// holds the chunk size and chunk extensions.
+	// maxChunkLineBytes limits the length of a chunk line, which is the line before the data of a chunk.
+	// The line holds the chunk size and optional chunk extensions.
 	maxChunkLineBytes = 256
 	// maxChunkSizeDigits limits the hexadecimal digits of a chunk size: 15 digits always fit into an int64.
 	maxChunkSizeDigits = 15
--- a/internal/netio/http1/header.go
+++ b/internal/netio/http1/header.go
@@ -87,7 +87,7 @@
 
 func isWhitespace(c byte) bool { return c == ' ' || c == '\t' }
 
-// isControlByte is true for the control characters that are not allowed in a field value or chunk
+// isControlByte holds true for the control characters that are not allowed in a field value or chunk
 // extension. Tabs are allowed.
 var isControlByte = func() (table [256]bool) {
 	for c := range byte(' ') {
@@ -127,7 +127,7 @@
 	return true
 }
 
-// isTokenByte is true for the bytes that are allowed in a token (RFC 9110, section 5.6.2).
+// isTokenByte holds true for the bytes that are allowed in a token (RFC 9110, section 5.6.2).
 var isTokenByte = func() (table [256]bool) {
 	for _, c := range []byte("!#$%&'*+-.^_`|~0123456789ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz") {
 		table[c] = true
--- a/internal/netio/httpd/bench_test.go
+++ b/internal/netio/httpd/bench_test.go
@@ -89,8 +89,8 @@
 	}
 }
 
-// sendPipelinedRequests opens a connection and writes requests, which holds depth pipelined requests, to it
-// count times. After each write, it reads depth responses.
+// sendPipelinedRequests opens a connection and writes the bytes in requests, which hold depth pipelined
+// requests, count times. After each write, it reads depth responses.
 func sendPipelinedRequests(addr string, requests []byte, count, depth int) error {
 	conn, err := net.Dial("tcp", addr)
 	if err != nil {
--- a/internal/netio/httpd/conn.go
+++ b/internal/netio/httpd/conn.go
@@ -265,8 +265,8 @@
 	}
 }
 
-// isIdle reports whether the connection is receiving no request, is preparing no response and has no output
-// queued.
+// isIdle reports whether the connection is neither receiving a request nor waiting for the end of a
+// response, and has no output queued.
 func (c *conn) isIdle() bool {
 	return !c.state.isReceivingRequest() && !c.state.awaitsResponseEnd() && c.transport.UnsentBytes() == 0
 }
--- a/internal/netio/httpd/server.go
+++ b/internal/netio/httpd/server.go
@@ -4,7 +4,7 @@
 // with the connections of package eventloop and adds time limits, back-pressure and a memory quota. The
 // handler, which the user of the package provides, interprets the requests. A response body can be a
 // stream: whenever output can be sent, the server calls http1.Stream.Pull to get the next data of the body.
-// The comments of this package call this pulling data from the stream.
+// In this package, this is called pulling data from the stream.
 package httpd
 
 import (
@@ -33,7 +33,7 @@
 	Limits http1.Limits
 	// RequestTimeout limits the time from receiving the first byte of a request to receiving its last byte.
 	RequestTimeout time.Duration
-	// IdleTimeout limits the time between two requests on a connection.
+	// IdleTimeout limits how long a connection may stay open without a request.
 	IdleTimeout time.Duration
 	// WriteTimeout limits the time during which a client accepts no output although some is queued.
 	WriteTimeout time.Duration
@@ -146,8 +146,8 @@
 	})
 }
 
-// Drain stops accepting connections and closes each open one after its current response. It calls done when
-// all connections are closed.
+// Drain stops accepting connections and closes each open connection after its current response. It calls
+// done when all connections are closed.
 func (s *Server) Drain(done func()) {
 	s.draining = true
 	s.listener.Close()
