--- a/internal/control/admission/admission.go
+++ b/internal/control/admission/admission.go
@@ -1,7 +1,8 @@
 // Package admission decides which placement requests are passed on to the placer when clients request more
 // tasks than the cluster can start. It decides four things: how many requests may be in flight (an adaptive
-// concurrency limit), which request is admitted next (by tenant shares, then by priority), which requests are
-// shed because their tasks could no longer start in time, and how many retries are admitted (a retry budget).
+// concurrency limit), which request is admitted next (by tenant shares, then by request class, then by priority),
+// which requests are shed because their tasks could no longer start in time, and how many retries are admitted
+// (a retry budget).
 //
 // Package engine, the core of the scheduler behind the Kubernetes API, owns a Controller. Controller.Submit
 // and Controller.Poll use three unexported types: a fairQueue orders the waiting requests, a limiter holds the
@@ -20,7 +21,7 @@
 const (
 	Admit Decision = iota // Admit means that the caller passes the request on to the placer now.
 	Queue                 // Queue means that the request waits until a later call of Poll admits or sheds it.
-	Shed                  // Shed means that the request is rejected; the client may submit another one after ShedRequest.RetryAfter.
+	Shed                  // Shed means that the request is rejected; after ShedRequest.RetryAfter, the client may submit a new request.
 )
 
 // Controller is an admission controller for placement requests. The zero value is not usable; New creates a
@@ -36,8 +37,8 @@
 	Admitted uint64
 	// Queued is the number of requests that were queued at submission.
 	Queued uint64
-	// Demoted is the number of queued requests that were moved behind other requests because their tasks could
-	// no longer start before Request.Deadline.
+	// Demoted is the number of queued first attempts that were moved behind all other first attempts, because
+	// their tasks could no longer start before Request.Deadline.
 	Demoted uint64
 	// ShedLate is the number of requests that were shed because their tasks could no longer start in time.
 	ShedLate uint64
@@ -178,8 +179,8 @@
 	return admitted, shed
 }
 
-// processExpired demotes or sheds each queued request whose expiry time has passed. It returns the requests
-// that it shed.
+// processExpired demotes or sheds each queued request whose expiry time has passed. It returns a ShedRequest for
+// each request that it sheds.
 func (c *Controller) processExpired(now placer.Seconds) []ShedRequest {
 	var shed []ShedRequest
 	for entry := c.queue.expiry.earliest(); entry != nil && entry.expiresAt <= now; entry = c.queue.expiry.earliest() {
@@ -221,8 +222,8 @@
 	return ReasonLate
 }
 
-// NextDeadline returns the time at which the caller has to call Poll even if no request completes before. It
-// returns infinity if no request is queued.
+// NextDeadline returns the latest time of the next call of Poll. The caller has to call Poll at that time even if
+// no request completes earlier. NextDeadline returns infinity if no request is queued.
 func (c *Controller) NextDeadline() placer.Seconds {
 	next := never
 	if c.queue.len() > 0 {
--- a/internal/control/admission/admission_test.go
+++ b/internal/control/admission/admission_test.go
@@ -24,19 +24,19 @@
 	return controller
 }
 
-// TestAdmissionFollowsShares checks that steady overload divides admissions among tenants in proportion to
-// their shares, however many requests each tenant submits. It also checks that the unused share of a tenant is
-// divided among the others.
+// TestAdmissionFollowsShares checks that a controller under steady overload divides admissions among tenants in
+// proportion to their shares, even if one tenant submits far more requests than the others. It also checks that
+// the unused share of a tenant is divided among the other tenants.
 func TestAdmissionFollowsShares(t *testing.T) {
 	for _, test := range []struct {
 		name             string
 		requestsPerRound []int // requestsPerRound contains the number of requests that each tenant submits in each round.
 		want             []float64
 	}{
-		{"all tenants exceed their shares", []int{9, 9, 9}, []float64{0.6, 0.3, 0.1}},
-		{"one tenant submits a burst", []int{7, 4, 90}, []float64{0.6, 0.3, 0.1}},
-		{"one tenant is idle", []int{0, 9, 9}, []float64{0, 0.75, 0.25}},
-		{"one tenant uses less than its share", []int{1, 9, 9}, []float64{0.1, 0.675, 0.225}},
+		{"every tenant submits more requests than its share", []int{9, 9, 9}, []float64{0.6, 0.3, 0.1}},
+		{"tenant with the smallest share submits most of the requests", []int{7, 4, 90}, []float64{0.6, 0.3, 0.1}},
+		{"tenant with the largest share submits no requests", []int{0, 9, 9}, []float64{0, 0.75, 0.25}},
+		{"tenant with the largest share submits fewer requests than its share", []int{1, 9, 9}, []float64{0.1, 0.675, 0.225}},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			admittedCounts := admittedByTenant(t, test.requestsPerRound)
@@ -46,7 +46,7 @@
 			}
 			for tenant, want := range test.want {
 				if got := admittedCounts[tenant] / total; math.Abs(got-want) > 0.02 {
-					t.Errorf("tenant %d has a fraction of %.3f of the admitted requests, want %.3f", tenant, got, want)
+					t.Errorf("fraction of admitted requests that are from tenant %d is %.3f, want %.3f", tenant, got, want)
 				}
 			}
 		})
@@ -101,13 +101,13 @@
 	completeRounds(controller, 20, 20, 0.01)
 
 	if loweredLimit >= initialLimit/2 || controller.Limit() <= 2*loweredLimit {
-		t.Errorf("concurrency limit was %v at first, %v after late requests and %v after fast requests, want less than half and then more than double", initialLimit, loweredLimit, controller.Limit())
+		t.Errorf("concurrency limit is %v initially, %v after late requests and %v after fast requests; want the second value below half of the first, and the third above twice the second", initialLimit, loweredLimit, controller.Limit())
 	}
 }
 
 // completeRounds simulates rounds from the given start until the given duration is over. In each round, it
-// submits as many requests as the concurrency limit allows. The tasks of all admitted requests are placed after
-// the given latency, which ends the round.
+// submits as many requests as the concurrency limit allows. At the end of the round, which lasts as long as the
+// given latency, the tasks of all admitted requests are placed.
 func completeRounds(controller *Controller, start, duration, latency placer.Seconds) {
 	id := uint64(start * 1e6)
 	for now := start; now < start+duration; now += latency {
@@ -132,10 +132,10 @@
 	for id := range uint64(1000) {
 		request := Request{ID: id, IsRetry: true, Deadline: 2, ClientDeadline: 2, LatencyObjective: 1}
 		if decision, _ := controller.Submit(1, request); decision != Admit {
-			t.Fatal("a controller with Config.Disabled did not admit a request")
+			t.Fatal("a controller with Config.Disabled did not admit a retry")
 		}
 	}
 	if got, want := controller.RetryBudget(), controller.cfg.RetryBurst; got != want {
-		t.Errorf("retry budget is %v tokens after retries at a disabled controller, want %v tokens as before", got, want)
+		t.Errorf("retry budget of a controller with Config.Disabled holds %v tokens after 1000 retries, want %v tokens as before the retries", got, want)
 	}
 }
--- a/internal/control/admission/characterization_test.go
+++ b/internal/control/admission/characterization_test.go
@@ -12,17 +12,17 @@
 )
 
 // TestCharacterizeAdmission submits random requests of several tenants to controllers with different settings.
-// It compares the decisions, the values of RetryAfter bit for bit, and the state of the controller after each
-// call with a golden file.
+// It checks that the decisions, each ShedRequest and the state of the controller after each operation agree with
+// a golden file. Floating-point values must be equal bit for bit.
 //
-// Regenerate the golden file with HEATHSHED_UPDATE_GOLDEN=1 only if the behaviour is meant to change; package
-// goldentest describes how.
+// Regenerate the golden file with HEATHSHED_UPDATE_GOLDEN=1 only if the behaviour of package admission is meant
+// to change; package goldentest describes how.
 func TestCharacterizeAdmission(t *testing.T) {
 	record := goldentest.NewRecorder()
 	for _, run := range []struct {
-		name           string
+		name           string // name identifies the run in the golden file; its length is part of the random seed.
 		changeConfig   func(*admission.Config)
-		meanInterval   float64 // meanInterval is the mean time between operations, in seconds.
+		meanInterval   float64 // meanInterval is the mean time between two operations on the controller, in seconds.
 		placedFraction float64 // placedFraction is the fraction of completed requests whose tasks are placed.
 	}{
 		{"calm", func(*admission.Config) {}, 0.05, 0.97},
@@ -114,7 +114,8 @@
 	return request
 }
 
-// recordInvalidConfigs records the error texts for invalid settings.
+// recordInvalidConfigs records the error that New returns for each invalid setting. It also records that New
+// accepts a negative share.
 func recordInvalidConfigs(record *goldentest.Recorder) {
 	for i, changeConfig := range []func(*admission.Config){
 		func(config *admission.Config) { config.MinInFlight = 0 },
--- a/internal/control/admission/config.go
+++ b/internal/control/admission/config.go
@@ -15,9 +15,10 @@
 	// MinInFlight and MaxInFlight are the bounds of the adaptive concurrency limit, which limits the number
 	// of placement requests in flight. InitialInFlight is the initial value of the concurrency limit.
 	MinInFlight, MaxInFlight, InitialInFlight float64
-	// The concurrency limit is multiplied by DecreaseFactor when the fraction of requests that complete late
-	// or without placing their tasks exceeds LateFraction. This happens at most once per DecreaseInterval. The
-	// default of LateFraction is above zero, because some tasks fit on no node even at low load.
+	// An admitted request counts as late if its task is not placed, or if it completes more than half of its
+	// latency objective after its admission. The concurrency limit is multiplied by DecreaseFactor when the
+	// fraction of late requests exceeds LateFraction, but at most once per DecreaseInterval. The default of
+	// LateFraction is above zero, because some tasks fit on no node even at low load.
 	DecreaseFactor, LateFraction float64
 	DecreaseInterval             placer.Seconds
 	// MaxQueued is the largest number of requests that may be queued, over all tenants.
@@ -26,9 +27,10 @@
 	// the task of a retry is placed, the token is returned together with RetryRatio more tokens. When the task
 	// of a first attempt is placed, RetryRatio tokens are added. RetryRate tokens are added per second.
 	RetryRatio, RetryRate, RetryBurst float64
-	// ShedUsesRetryBudget restores a former, faulty behaviour for experiments: a request is shed when its
-	// Deadline is too close, instead of being demoted. When the client submits a shed request again, the
-	// request counts as a retry, and it is shed at once if the retry budget is used up.
+	// ShedUsesRetryBudget restores a former, faulty behaviour for experiments: when the task of a queued first
+	// attempt can no longer start before Request.Deadline, the request is shed instead of being moved behind
+	// the other first attempts. A new request for the same task then counts as a retry, and it is shed at once
+	// if the retry budget is used up.
 	ShedUsesRetryBudget bool
 	// AdditiveOnly disables slow start. The concurrency limit then grows by at most one per round. A round is
 	// over when as many requests have completed as the limit allows in flight.
@@ -67,7 +69,7 @@
 
 // Validate returns a *ConfigError for the first setting that is out of range, or nil if there is none.
 func (c *Config) Validate() error {
-	ranges := []ConfigError{
+	possibleErrors := []ConfigError{
 		{"minInFlight", c.MinInFlight, 1, c.MaxInFlight},
 		{"maxInFlight", c.MaxInFlight, 1, 1e9},
 		{"initialInFlight", c.InitialInFlight, 1, 1e9},
@@ -79,11 +81,11 @@
 		{"retryRate", c.RetryRate, 0, 1e9},
 		{"retryBurst", c.RetryBurst, 0, 1e9},
 	}
-	for i := range ranges {
-		field := &ranges[i]
-		inRange := field.Value >= field.Min && field.Value <= field.Max // The comparison is false for NaN.
+	for i := range possibleErrors {
+		possibleError := &possibleErrors[i]
+		inRange := possibleError.Value >= possibleError.Min && possibleError.Value <= possibleError.Max // A comparison with NaN is false.
 		if !inRange {
-			return field
+			return possibleError
 		}
 	}
 	return nil
--- a/internal/control/admission/limit.go
+++ b/internal/control/admission/limit.go
@@ -7,21 +7,22 @@
 )
 
 const (
-	// minLatencyObjective is the smallest latency objective that the limiter applies to a request. A smaller
-	// latency objective is raised to it.
+	// minLatencyObjective is the smallest latency objective that the limiter applies to a request. The limiter
+	// replaces a smaller latency objective with this value.
 	minLatencyObjective placer.Seconds = 0.001
-	// lateFractionWeight is the weight of one completed request in limiter.lateFraction, an exponential moving
-	// average.
+	// lateFractionWeight is the weight of the last completed request in limiter.lateFraction, which is an
+	// exponential moving average.
 	lateFractionWeight = 0.05
-	// fastCompletionDivisor defines which requests count as fast: a request is fast if it completes within its
-	// latency objective divided by this number. During slow start, only fast requests raise the concurrency
-	// limit by one. A slower request has already waited in some queue after its admission, and doubling the
-	// limit would only make that queue longer.
+	// fastCompletionDivisor defines which requests count as fast. A request is fast if the time from its
+	// admission to its completion is at most its latency objective divided by fastCompletionDivisor. During
+	// slow start, only fast requests raise the concurrency limit by one. A slower request has already waited in
+	// some queue after its admission, and doubling the limit would only make that queue longer.
 	fastCompletionDivisor = 16.0
-	// slowStartIntervals is the number of decrease intervals that must pass without a late request before
-	// slow start begins again.
+	// slowStartIntervals is the number of intervals of length Config.DecreaseInterval that must pass without a
+	// late request before slow start begins again.
 	slowStartIntervals = 4.0
-	// minSlowStartInterval replaces a shorter Config.DecreaseInterval in the product with slowStartIntervals.
+	// minSlowStartInterval replaces a shorter Config.DecreaseInterval in the computation of the time without
+	// late requests after which slow start begins again.
 	minSlowStartInterval placer.Seconds = 0.05
 )
 
@@ -33,8 +34,8 @@
 	admittedAt       placer.Seconds
 	latencyObjective placer.Seconds
 	// occupiesSlot means that the request counts against the concurrency limit. A request no longer counts once
-	// it has exceeded its latency objective: it waits for a node that can run its task, and does not occupy a
-	// node meanwhile.
+	// it has been in flight for as long as its latency objective. Its task then waits for a suitable node, and
+	// occupies no node while it waits.
 	occupiesSlot    bool
 	usedRetryBudget bool
 }
@@ -54,7 +55,7 @@
 	slowStart      bool           // slowStart means that the concurrency limit grows by one for each fast request.
 
 	inFlight         map[uint64]*inFlightRequest
-	inAdmissionOrder []*inFlightRequest // inAdmissionOrder starts with the oldest request; completed requests stay until they reach the front.
+	inAdmissionOrder []*inFlightRequest // inAdmissionOrder contains the oldest request first; a completed request stays until it reaches the front.
 	occupiedSlots    int                // occupiedSlots is the number of requests that count against the concurrency limit.
 }
 
@@ -67,8 +68,8 @@
 	}
 }
 
-// hasCapacity reports whether one more request may be in flight. It first releases the slots of requests that
-// exceed their latency objective.
+// hasCapacity reports whether one more request may be in flight. It first calls releaseSlot for each request that
+// has been in flight for as long as its latency objective.
 func (l *limiter) hasCapacity(now placer.Seconds) bool {
 	for len(l.inAdmissionOrder) > 0 {
 		oldest := l.inAdmissionOrder[0]
@@ -82,8 +83,9 @@
 	return float64(l.occupiedSlots) < math.Floor(l.limit)
 }
 
-// nextSlotExpiry returns the time at which the oldest request in flight reaches its latency objective and so
-// releases its slot. It returns infinity if no request is in flight.
+// nextSlotExpiry returns the time at which the oldest request in inAdmissionOrder will have been in flight for as
+// long as its latency objective. From then on, the request does not count against the concurrency limit.
+// nextSlotExpiry returns infinity if inAdmissionOrder is empty.
 func (l *limiter) nextSlotExpiry() placer.Seconds {
 	if len(l.inAdmissionOrder) == 0 {
 		return never
@@ -99,12 +101,14 @@
 	l.occupiedSlots++
 }
 
-// remove removes a request from the requests in flight and releases its slot.
+// remove removes a request from the requests in flight, after which it no longer counts against the concurrency
+// limit.
 func (l *limiter) remove(id uint64, request *inFlightRequest) {
 	delete(l.inFlight, id)
 	l.releaseSlot(request)
 }
 
+// releaseSlot ensures that the request no longer counts against the concurrency limit.
 func (l *limiter) releaseSlot(request *inFlightRequest) {
 	if request.occupiesSlot {
 		request.occupiesSlot = false
@@ -121,8 +125,8 @@
 	l.updateLateFraction(now, late)
 	switch {
 	case late && l.mayDecrease(now):
-		// The decrease starts from the number of occupied slots if that is below the limit, because there may
-		// never have been as many requests in flight as the limit allows.
+		// DecreaseFactor applies to the number of requests that counted against the limit, plus one, if that is
+		// less than the limit. There may never have been as many requests in flight as the limit allows.
 		l.limit = max(min(l.limit, occupiedBefore+1)*l.cfg.DecreaseFactor, l.cfg.MinInFlight)
 		l.lastDecreaseAt = now
 		l.slowStart = false
@@ -131,7 +135,8 @@
 	}
 }
 
-// updateLateFraction updates the moving average of the fraction of late requests after one request completed.
+// updateLateFraction updates lateFraction and lastLateAt after one request has completed. The argument late
+// states whether this request was late.
 func (l *limiter) updateLateFraction(now placer.Seconds, late bool) {
 	observed := 0.0
 	if late {
@@ -141,17 +146,17 @@
 	l.lateFraction += (observed - l.lateFraction) * lateFractionWeight
 }
 
-// mayDecrease reports whether the concurrency limit can be decreased now. The fraction of late requests must
-// be too high, and the last decrease must be at least one decrease interval ago.
+// mayDecrease reports whether the concurrency limit may be decreased now. The fraction of late requests must
+// exceed Config.LateFraction, and the last decrease must be at least Config.DecreaseInterval ago.
 func (l *limiter) mayDecrease(now placer.Seconds) bool {
 	return l.lateFraction > l.cfg.LateFraction && now-l.lastDecreaseAt >= l.cfg.DecreaseInterval
 }
 
-// increase raises the concurrency limit after one request completed in time. It raises the limit by 1/limit,
-// which amounts to one per round, where a round is the completion of as many requests as the limit allows.
-// During slow start, it raises the limit by one for each fast request, which doubles the limit in each round.
-// Slow start applies at the beginning, and again after a period without late requests. A limit that was
-// lowered during a fault therefore recovers soon after the fault.
+// increase raises the concurrency limit after one request that was not late has completed. Normally it raises
+// the limit by 1/limit, which amounts to one per round. A round is over when as many requests have completed as
+// the limit allows in flight. During slow start, increase raises the limit by one for each fast request, which
+// doubles the limit in each round. Slow start is active at the beginning, and again after a period without late
+// requests. A limit that was lowered during a fault therefore recovers soon after the fault.
 func (l *limiter) increase(now placer.Seconds, fast bool) {
 	recoveryPeriod := slowStartIntervals * max(l.cfg.DecreaseInterval, minSlowStartInterval)
 	if !l.slowStart && !l.cfg.AdditiveOnly && now-l.lastLateAt >= recoveryPeriod {
--- a/internal/control/admission/queue.go
+++ b/internal/control/admission/queue.go
@@ -11,15 +11,15 @@
 type queuedRequest struct {
 	Request
 	arrivedAt placer.Seconds
-	expiresAt placer.Seconds // expiresAt is the time at which a first attempt is demoted, or a demoted request or a retry is shed.
+	expiresAt placer.Seconds // expiresAt is when a request of classFirst is moved to classDemoted, and when any other request is shed.
 	tenant    *tenantQueue
-	removed   bool // removed means that the request has left the queue; code that finds it in a slice or the heap skips it.
+	removed   bool // removed means that the request has left the queue; a slice or the heap can still contain it, but it is skipped there.
 }
 
 // tenantQueue holds the queued requests of one tenant.
 type tenantQueue struct {
 	share         float64
-	virtualTime   float64                      // virtualTime is the tenant's total admitted cost divided by its share; advanceVirtualTime can raise it.
+	virtualTime   float64                      // virtualTime is the total cost of the tenant's admitted requests divided by share; advanceVirtualTime can raise it.
 	byClass       [numClasses][]*priorityQueue // byClass holds the queues of each request class, sorted by descending priority.
 	queuedByClass [numClasses]int
 }
@@ -41,7 +41,8 @@
 	t.queuedByClass[class]++
 }
 
-// remove marks a queued request as removed. A later call of trimRemoved deletes it from its slice.
+// remove marks a queued request as removed. A later call of trimRemoved deletes the request from
+// priorityQueue.entries.
 func (t *tenantQueue) remove(entry *queuedRequest) {
 	class := entry.class()
 	entry.removed = true
@@ -53,9 +54,9 @@
 	}
 }
 
-// next returns the request of the tenant that is admitted next, or nil if the tenant has no queued request.
-// Earlier request classes come first. Within a class, higher priorities come first. The method selectEntry
-// selects among requests of equal class and priority.
+// next returns the tenant's queued request that is to be admitted before the tenant's other queued requests. It
+// returns nil if the tenant has no queued request. Earlier request classes come first, and higher priorities
+// come first within a request class. The method selectEntry selects among requests of equal class and priority.
 func (t *tenantQueue) next(now placer.Seconds) *queuedRequest {
 	for _, queues := range t.byClass {
 		for _, queue := range queues {
@@ -71,21 +72,22 @@
 // order of arrival.
 type priorityQueue struct {
 	priority int
-	entries  []*queuedRequest // entries also contains removed requests until they reach an end of the slice.
+	entries  []*queuedRequest // entries also contains removed requests, until trimRemoved deletes them.
 	length   int              // length is the number of requests in entries that are not removed.
 }
 
-// compareDescending compares a queue with a priority for a binary search in queues that are sorted by
-// descending priority.
+// compareDescending compares the priority of a queue with the given priority. The method enqueue uses it for a
+// binary search in queues that are sorted by descending priority.
 func compareDescending(queue *priorityQueue, priority int) int { return priority - queue.priority }
 
-// fifoWaitFraction is the fraction of its latency objective that the oldest request may wait before the
-// newest request is admitted instead of it.
+// fifoWaitFraction is a fraction of the latency objective. In a priorityQueue, the oldest request is
+// admitted first if it has waited for less than this fraction of its latency objective. Otherwise, the newest
+// request is admitted first.
 const fifoWaitFraction = 0.4
 
-// selectEntry returns the oldest request if that request has waited for less than fifoWaitFraction of its
-// latency objective, and the newest request otherwise. Under overload, admission in order of arrival would
-// make every task start late.
+// selectEntry returns the oldest request in the queue if that request has waited for less than fifoWaitFraction
+// of its latency objective. Otherwise it returns the newest request, because admission in order of arrival would
+// make every task start late under overload. It returns nil if the queue is empty.
 func (q *priorityQueue) selectEntry(now placer.Seconds) *queuedRequest {
 	q.trimRemoved()
 	if q.length == 0 {
@@ -98,7 +100,7 @@
 	return q.entries[len(q.entries)-1]
 }
 
-// trimRemoved deletes removed entries from both ends of the slice.
+// trimRemoved deletes the removed requests at both ends of the slice q.entries.
 func (q *priorityQueue) trimRemoved() {
 	for len(q.entries) > 0 && q.entries[0].removed {
 		q.entries[0] = nil
--- a/internal/control/admission/request.go
+++ b/internal/control/admission/request.go
@@ -8,9 +8,9 @@
 	ID       uint64
 	Tenant   int     // Tenant is an index into Config.Shares; a value out of range counts as tenant 0.
 	Priority int     // Priority orders requests within a tenant; a higher priority is admitted first.
-	Cost     float64 // Cost is the fraction of a node's resources that the task needs; the tenant is charged at least minCost.
-	// Deadline is the time at which this request expires. Until ClientDeadline, the client can submit another
-	// request for the same task.
+	Cost     float64 // Cost is the fraction of a node's resources that the task needs; a Cost below minCost counts as minCost.
+	// Deadline is the time at which this request expires. Even after Deadline, the client can submit another
+	// request for the same task until ClientDeadline.
 	Deadline placer.Seconds
 	// ClientDeadline is the time at which the client stops waiting for the task to be placed. It is not
 	// earlier than Deadline.
@@ -29,9 +29,11 @@
 type requestClass int
 
 const (
-	classFirst   requestClass = iota // classFirst contains first attempts whose tasks can still start in time.
-	classDemoted                     // classDemoted contains late first attempts, which were shed before or were demoted in the queue.
-	classRetry                       // classRetry contains retries, each of which uses a token of the retry budget.
+	classFirst requestClass = iota // classFirst contains first attempts whose tasks can still start in time.
+	// classDemoted contains the first attempts whose tasks can no longer start before Request.Deadline, and the
+	// first attempts that follow a shed request for the same task.
+	classDemoted
+	classRetry // classRetry contains retries, each of which uses a token of the retry budget.
 	numClasses
 )
 
@@ -46,7 +48,7 @@
 }
 
 // latestStart returns the latest time at which it is useful to admit a request whose task must be placed by
-// the given deadline. This time is half of the latency objective before the deadline.
+// the given deadline. It is the deadline minus half of the latency objective.
 func (r *Request) latestStart(deadline placer.Seconds) placer.Seconds {
 	return deadline - r.LatencyObjective/2
 }
--- a/internal/control/admission/requests_test.go
+++ b/internal/control/admission/requests_test.go
@@ -56,7 +56,8 @@
 	return &controllerModel{T: t, config: config, controller: controller, requestByID: map[uint64]Request{}, stateByID: map[uint64]requestState{}}
 }
 
-// drawSeconds draws a random duration between the two bounds. Rapid prints the label with the drawn value.
+// drawSeconds draws a random duration between the two bounds. When a test fails, package rapid prints the label
+// together with the drawn value.
 func (model *controllerModel) drawSeconds(minSeconds, maxSeconds float64, label string) placer.Seconds {
 	return placer.Seconds(rapid.Float64Range(minSeconds, maxSeconds).Draw(model.T, label))
 }
@@ -64,7 +65,7 @@
 // setState changes the state of a request. It fails the test if the request is neither new nor queued.
 func (model *controllerModel) setState(id uint64, nextState requestState) {
 	if previous := model.stateByID[id]; previous != 0 && previous != stateQueued {
-		model.Fatalf("request %d changes its state from %s to %s, but only a queued request can be admitted or shed", id, previous, nextState)
+		model.Fatalf("the controller changed the state of request %d from %s to %s, but only new and queued requests may change their states", id, previous, nextState)
 	}
 	model.stateByID[id] = nextState
 	if nextState != stateInFlight {
@@ -85,8 +86,8 @@
 		Cost:             1,
 		Deadline:         model.now + model.drawSeconds(0.1, 5, "seconds until deadline"),
 		LatencyObjective: 0.5,
-		IsRetry:          rapid.IntRange(0, 3).Draw(model.T, "is retry") == 0,
-		ShedBefore:       rapid.IntRange(0, 2).Draw(model.T, "shed before") == 0,
+		IsRetry:          rapid.IntRange(0, 3).Draw(model.T, "request is a retry") == 0,
+		ShedBefore:       rapid.IntRange(0, 2).Draw(model.T, "earlier request for the task was shed") == 0,
 	}
 	request.ClientDeadline = request.Deadline + model.drawSeconds(0, 2, "seconds between deadline and client deadline")
 	model.requestByID[request.ID] = request
@@ -115,7 +116,7 @@
 	admitted, shed := model.controller.Poll(model.now)
 	for _, id := range admitted {
 		if model.now > model.requestByID[id].ClientDeadline {
-			model.Fatal("a request is admitted after its client deadline")
+			model.Fatal("Poll admitted a request after its Request.ClientDeadline")
 		}
 		model.setState(id, stateInFlight)
 	}
@@ -124,7 +125,8 @@
 	}
 }
 
-// checkInvariants checks that the state of the controller agrees with the model and stays within its limits.
+// checkInvariants checks that the state of the controller agrees with the model and respects the configured
+// limits.
 func (model *controllerModel) checkInvariants() {
 	model.checkRetryBudget()
 	model.checkLimit()
@@ -135,14 +137,14 @@
 	unplacedRetries := model.admittedRetries - model.placedRetries
 	maxUnplacedRetries := model.config.RetryBurst + model.config.RetryRatio*float64(model.placedCount) + model.config.RetryRate*float64(model.now)
 	if float64(unplacedRetries) > maxUnplacedRetries+1e-6 || model.controller.RetryBudget() < -1e-9 {
-		model.Fatalf("%d admitted retries have not placed their tasks, which exceeds the retry budget for %d placed tasks in %.1f s, or the number of tokens is negative", unplacedRetries, model.placedCount, model.now)
+		model.Fatalf("the tasks of %d admitted retries are not placed, which is more than the retry budget allows after %d placed tasks and %.1f s, or the retry budget holds a negative number of tokens", unplacedRetries, model.placedCount, model.now)
 	}
 }
 
 func (model *controllerModel) checkLimit() {
 	occupiedSlots := model.controller.limiter.occupiedSlots
 	if model.controller.InFlight() != len(model.inFlightIDs) || occupiedSlots > len(model.inFlightIDs) || occupiedSlots < 0 {
-		model.Fatalf("the model has %d requests in flight; the controller reports %d, which occupy %d slots", len(model.inFlightIDs), model.controller.InFlight(), occupiedSlots)
+		model.Fatalf("%d requests are in flight in the model and %d in the controller, want equal numbers; %d requests count against the concurrency limit, want at least 0 and at most the number in flight", len(model.inFlightIDs), model.controller.InFlight(), occupiedSlots)
 	}
 	if limit := model.controller.Limit(); limit < model.config.MinInFlight || limit > model.config.MaxInFlight {
 		model.Fatalf("concurrency limit %v is below Config.MinInFlight or above Config.MaxInFlight", limit)
@@ -161,7 +163,7 @@
 		}
 	}
 	if queuedCount != model.controller.QueueLength() || queuedCount > model.config.MaxQueued {
-		model.Fatalf("the model has %d queued requests and the controller reports %d; want equal numbers up to Config.MaxQueued", queuedCount, model.controller.QueueLength())
+		model.Fatalf("%d requests are queued in the model and %d in the controller, want equal numbers of at most Config.MaxQueued", queuedCount, model.controller.QueueLength())
 	}
 }
 
@@ -170,11 +172,12 @@
 //   - the concurrency limit stays within its bounds,
 //   - the number of admitted retries whose tasks are not placed stays within the retry budget,
 //   - no first attempt is queued while the concurrency limit allows its admission,
-//   - no request is admitted after its client deadline, or remains queued long after all client deadlines.
+//   - no request is admitted after its Request.ClientDeadline,
+//   - no request is still queued 100 s after the last step, when every Request.ClientDeadline has passed.
 func TestRequestsAreNeverLost(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		model := newControllerModel(t)
-		for range rapid.IntRange(1, 200).Draw(t, "steps") {
+		for range rapid.IntRange(1, 200).Draw(t, "number of steps") {
 			model.now += model.drawSeconds(0, 0.3, "elapsed seconds")
 			if rapid.Bool().Draw(t, "submit a request") || len(model.inFlightIDs) == 0 {
 				model.submit()
@@ -184,9 +187,9 @@
 			model.poll()
 			model.checkInvariants()
 		}
-		// All client deadlines have passed 100 s later, so Poll must admit or shed every queued request.
+		// Every Request.ClientDeadline has passed 100 s later, so Poll must admit or shed every queued request.
 		if _, shed := model.controller.Poll(model.now + 100); len(shed) != model.controller.QueueLength()+len(shed) {
-			t.Fatal("some requests remain queued after all client deadlines")
+			t.Fatal("some requests remain queued although every Request.ClientDeadline has passed")
 		}
 	})
 }
--- a/internal/control/admission/retry_budget.go
+++ b/internal/control/admission/retry_budget.go
@@ -2,13 +2,14 @@
 
 import "heathshed/placer"
 
-// retryBudget is a token bucket for retries. A retry takes one token. Tokens are added at a constant rate and
-// for each placed request, up to the size of the bucket. This bounds the rate of retries while nodes fail, and
-// lets the rate grow with the number of placed requests when the nodes work again.
+// retryBudget is a token bucket for retries. Each admitted retry takes one token. Tokens are added at a constant
+// rate, and also for each request whose task is placed, until the bucket is full. Few retries are thus admitted
+// while nodes fail, and the number of admitted retries grows with the number of placed tasks when the nodes work
+// again.
 type retryBudget struct {
 	tokens     float64
 	refilledAt placer.Seconds // refilledAt is the time at which tokens were last added at the constant rate.
-	ratio      float64        // ratio is the number of tokens added for each placed request.
+	ratio      float64        // ratio is the number of tokens added for each request whose task is placed.
 	rate       float64        // rate is the number of tokens added per second.
 	burst      float64        // burst is the largest number of tokens that the bucket holds.
 }
@@ -17,7 +18,7 @@
 	return retryBudget{tokens: cfg.RetryBurst, ratio: cfg.RetryRatio, rate: cfg.RetryRate, burst: cfg.RetryBurst}
 }
 
-// refill adds the tokens that the constant rate yields for the time since the last call of refill.
+// refill adds tokens at the constant rate for the time that has passed since the last call of refill.
 func (b *retryBudget) refill(now placer.Seconds) {
 	b.tokens = min(b.tokens+float64(max(now-b.refilledAt, 0))*b.rate, b.burst)
 	b.refilledAt = max(b.refilledAt, now)
@@ -30,8 +31,9 @@
 
 func (b *retryBudget) addTokens(tokens float64) { b.tokens = min(b.tokens+tokens, b.burst) }
 
-// recordPlaced adds the tokens for a request whose task was placed. If the request was a retry, its token is
-// also returned, so only a failed retry uses up a token.
+// recordPlaced adds tokens for one request whose task was placed. The argument usedToken is true if the request
+// was a retry that took a token. Its token is then returned too, so only retries whose tasks are not placed use
+// up tokens.
 func (b *retryBudget) recordPlaced(usedToken bool) {
 	refund := b.ratio
 	if usedToken {
--- a/internal/control/admission/retry_budget_test.go
+++ b/internal/control/admission/retry_budget_test.go
@@ -100,13 +100,13 @@
 
 	maxAdmitted := controller.cfg.RetryBurst + 60*controller.cfg.RetryRate + 1
 	if float64(controller.Admitted) > maxAdmitted {
-		t.Errorf("%d retries were admitted in a minute in which no task was placed, want at most %v", controller.Admitted, maxAdmitted)
+		t.Errorf("%d retries were admitted in 60 s in which no task was placed, want at most %v", controller.Admitted, maxAdmitted)
 	}
 }
 
-// TestRetryBudgetRecovers checks that the tasks of many waiting retries are placed soon after a fault of the
-// nodes, even if no first attempts arrive. This is possible only if placed retries add tokens to the retry
-// budget, because the tokens per second alone are too few.
+// TestRetryBudgetRecovers simulates a fault during which no node accepts a task. It checks that the tasks of many
+// waiting retries are placed soon after the fault, even if no first attempts arrive. This is possible only if
+// each retry whose task is placed adds tokens to the retry budget, because Config.RetryRate alone adds too few.
 func TestRetryBudgetRecovers(t *testing.T) {
 	const start, faultDuration placer.Seconds = 1, 30
 	controller := newController(t)
@@ -115,9 +115,9 @@
 	placed := backlog.run(start, faultDuration+30)
 
 	if placed < 19000 {
-		t.Errorf("only %d of 20000 tasks were placed within 30 s after a fault of 30 s, want at least 19000", placed)
+		t.Errorf("%d of 20000 tasks were placed within 30 s after a fault of 30 s during which no node accepted a task, want at least 19000", placed)
 	}
 	if got, full := controller.RetryBudget(), controller.cfg.RetryBurst; got < full-1 {
-		t.Errorf("retry budget is %v tokens at the end, want at least Config.RetryBurst minus one token", got)
+		t.Errorf("retry budget holds %v tokens at the end, want at least Config.RetryBurst minus one token", got)
 	}
 }
--- a/internal/control/admission/shares.go
+++ b/internal/control/admission/shares.go
@@ -5,18 +5,19 @@
 	"math"
 )
 
-// minCost is the smallest cost that a tenant is charged for a request. It ensures that the shares of the
-// tenants also apply to requests whose cost is zero.
+// minCost replaces a smaller Request.Cost. Without it, requests whose cost is zero would not raise the virtual
+// time of their tenant, and the shares of the tenants would not apply to these requests.
 const minCost = 0.01
 
 // fairQueue holds all queued requests and divides admissions among tenants in proportion to their shares. It
-// implements weighted fair queueing: the virtual time of a tenant is its admitted cost divided by its share,
-// and the tenant with the lowest virtual time comes next.
+// implements weighted fair queueing. The virtual time of a tenant is the total cost of the tenant's admitted
+// requests divided by the tenant's share. The next admitted request is one of the tenant with the lowest virtual
+// time.
 type fairQueue struct {
 	byID        map[uint64]*queuedRequest
 	expiry      expiryHeap
 	tenants     []*tenantQueue
-	virtualTime float64 // virtualTime is the virtual time that the last charged tenant had before it was charged.
+	virtualTime float64 // virtualTime is the virtual time that the tenant of the last admitted request had before this admission.
 }
 
 func newFairQueue(shares []float64) fairQueue {
@@ -50,7 +51,8 @@
 
 func (q *fairQueue) len() int { return len(q.byID) }
 
-// tenantByNumber returns the queue of the tenant with the given number. A number out of range counts as 0.
+// tenantByNumber returns the queue of the tenant with the given number. If the number is out of range, it returns
+// the queue of tenant 0.
 func (q *fairQueue) tenantByNumber(number int) *tenantQueue {
 	if number < 0 || number >= len(q.tenants) {
 		number = 0
@@ -82,9 +84,9 @@
 	return ahead
 }
 
-// nextTenant returns the tenant whose request is admitted next, or nil if no request can be admitted. The
-// argument retriesAllowed is false if the retry budget is used up. Tenants without a request that can be
-// admitted are skipped, which divides their unused shares among the other tenants.
+// nextTenant returns the tenant whose request is to be admitted next, or nil if no request can be admitted. The
+// argument retriesAllowed is false if the retry budget is used up. nextTenant skips each tenant that has no
+// request that can be admitted. The share of a skipped tenant is thus divided among the other tenants.
 func (q *fairQueue) nextTenant(retriesAllowed bool) *tenantQueue {
 	var selected *tenantQueue
 	for _, tenant := range q.tenants {
@@ -99,8 +101,8 @@
 	return selected
 }
 
-// advanceVirtualTime raises the virtual time of a tenant to that of the queue. Without it, a tenant could save
-// up its share while it is idle and later delay the requests of all others.
+// advanceVirtualTime raises the virtual time of a tenant to at least the virtual time of the queue. Otherwise a
+// tenant could save up its share while it is idle, and later delay the requests of all other tenants.
 func (q *fairQueue) advanceVirtualTime(tenant *tenantQueue) {
 	tenant.virtualTime = max(tenant.virtualTime, q.virtualTime)
 }
--- a/internal/control/admission/shedding.go
+++ b/internal/control/admission/shedding.go
@@ -21,17 +21,18 @@
 	ReasonRetryBudget = "the retry budget is used up"
 )
 
-// maxRetryAfter is the upper bound of ShedRequest.RetryAfter before the variation by retryAfterSteps. The
-// admission rate during a fault does not predict the rate after the fault, and a client with a longer delay
-// would return long after capacity is available again.
+// maxRetryAfter is the upper bound of ShedRequest.RetryAfter before it is multiplied by one of the factors that
+// retryAfterSteps describes. The admission rate during a fault does not predict the rate after the fault. With a
+// longer delay, a client would submit its next request long after capacity is available again.
 const maxRetryAfter placer.Seconds = 15
 
-// retryAfterSteps is the number of different factors by which successive values of ShedRequest.RetryAfter are
-// multiplied in turn. Clients whose requests are shed together then do not retry in synchronized waves.
+// retryAfterSteps is the number of distinct factors, all between 0.75 and 1.25, by which newShedRequest multiplies
+// ShedRequest.RetryAfter. Two requests that are shed one after the other get different factors. Otherwise, clients
+// whose requests are shed together would retry in synchronized waves.
 const retryAfterSteps = 16
 
-// newShedRequest returns the ShedRequest for the request with the given ID. Its RetryAfter is about the time in
-// which the queue empties at the current admission rate.
+// newShedRequest returns the ShedRequest for the request with the given ID. Its RetryAfter is roughly the time
+// that the controller needs to admit all queued requests at the current admission rate, up to maxRetryAfter.
 func (c *Controller) newShedRequest(id uint64, reason string) ShedRequest {
 	wait := 1 + placer.Seconds(float64(c.queue.len())/max(c.rate.perSecond, 1))
 	step := (c.ShedLate + c.ShedFull + c.ShedRetry) % retryAfterSteps
