--- a/internal/control/clock/clock.go
+++ b/internal/control/clock/clock.go
@@ -52,8 +52,8 @@
 // UnixMicro returns the number of microseconds from the Unix epoch to the instant.
 func (i Instant) UnixMicro() int64 { return int64(i) / int64(time.Microsecond) }
 
-// UnixSeconds returns the number of seconds from the Unix epoch to the instant in floating point, which the
-// schedulers use. For present-day times, the result has a precision of about 240 nanoseconds.
+// UnixSeconds returns the number of seconds from the Unix epoch to the instant, in the floating-point type
+// with which the schedulers compute. For present-day times, the result has a precision of about 240 nanoseconds.
 func (i Instant) UnixSeconds() placer.Seconds {
 	whole := i / Instant(time.Second)
 	remainder := i % Instant(time.Second)
@@ -73,9 +73,10 @@
 	return time.Duration(nanoseconds(float64(s), math.Round))
 }
 
-// nanoseconds converts seconds to nanoseconds, which roundFraction rounds. It converts the whole and the
-// fractional part of s separately, because the product of s and 1e9 would be off by up to 128 nanoseconds for
-// present-day Unix times. The result for NaN is the same as for positive infinity.
+// nanoseconds converts the number of seconds s to nanoseconds, and rounds the result to an integer with
+// roundFraction. It converts the integer part and the fractional part of s separately, because the product of s
+// and 1e9 would be wrong by up to 128 nanoseconds for present-day Unix times. The result for NaN is the same as
+// for positive infinity.
 func nanoseconds(s float64, roundFraction func(float64) float64) int64 {
 	const maxSeconds = math.MaxInt64 / int64(time.Second)
 	whole, fraction := math.Modf(s)
--- a/internal/control/clock/clock_test.go
+++ b/internal/control/clock/clock_test.go
@@ -10,9 +10,9 @@
 	"heathshed/placer"
 )
 
-// TestDuration checks that a number of seconds is converted to the nearest duration, and that a number out of
-// range is converted to the largest or smallest duration. Without this limit the result would depend on the Go
-// implementation, because an integer cannot represent such a floating-point number.
+// TestDuration checks that a number of seconds is converted to the nearest time.Duration. A number outside the
+// range of time.Duration must be converted to the largest or smallest time.Duration. Otherwise the result would
+// depend on the Go implementation, because an integer cannot represent such a floating-point number.
 func TestDuration(t *testing.T) {
 	for _, test := range []struct {
 		name    string
@@ -22,13 +22,13 @@
 		{"zero seconds", 0, 0},
 		{"fraction that is exact in binary", 0.25, 250 * time.Millisecond},
 		{"fraction that is not exact in binary", 0.7, 700 * time.Millisecond},
-		{"rounded to the nearest nanosecond", 1.6e-9, 2},
+		{"number that is rounded to the nearest nanosecond", 1.6e-9, 2},
 		{"negative number of seconds", -1.5, -1500 * time.Millisecond},
-		{"billion seconds", 1e9, 1e9 * time.Second},
+		{"one billion seconds", 1e9, 1e9 * time.Second},
 		{"positive infinity", math.Inf(1), math.MaxInt64},
-		{"not a number", math.NaN(), math.MaxInt64},
+		{"NaN", math.NaN(), math.MaxInt64},
 		{"negative infinity", math.Inf(-1), math.MinInt64},
-		{"longer than the largest duration", 1e300, math.MaxInt64},
+		{"number above the largest duration", 1e300, math.MaxInt64},
 		{"largest duration", math.MaxInt64 / 1e9, math.MaxInt64},
 	} {
 		t.Run(test.name, func(t *testing.T) {
@@ -39,9 +39,9 @@
 	}
 }
 
-// TestFromUnixSecondsIsClamped checks that infinity, which as a time means "never", is converted to the latest
-// instant, and that adding a duration to the latest instant does not overflow. It checks the same for minus
-// infinity and the earliest instant.
+// TestFromUnixSecondsIsClamped checks that the time infinity, which means "never", is converted to the latest
+// instant. It also checks that the sum of the latest instant and a duration does not overflow. It checks the same
+// for minus infinity and the earliest instant.
 func TestFromUnixSecondsIsClamped(t *testing.T) {
 	never := clock.FromUnixSeconds(placer.Seconds(math.Inf(1)))
 	if never != math.MaxInt64 || never.Add(time.Hour) != never {
@@ -69,14 +69,14 @@
 		}
 		later := instant.Add(time.Duration(rng.IntN(1000)))
 		if later.UnixSeconds() < seconds {
-			t.Fatalf("the instant %d ns after %v s is converted to %v s, which is earlier", later.Sub(instant), seconds, later.UnixSeconds())
+			t.Fatalf("the instant %d ns after %v s is converted to %v s, want a time that is not earlier", later.Sub(instant), seconds, later.UnixSeconds())
 		}
 	}
 }
 
 // TestFromUnixSecondsIsNotEarly checks that times up to 1000 s after the Unix epoch do not become earlier when
-// they are converted to an Instant and back. The floating-point numbers for such times are more precise than
-// whole nanoseconds, so the conversion has to round.
+// they are converted to an Instant and back. Such a time, as a floating-point number, can lie between two
+// nanoseconds, so the conversion to an Instant has to round it.
 func TestFromUnixSecondsIsNotEarly(t *testing.T) {
 	rng := rand.New(rand.NewPCG(3, 4))
 	for range 100_000 {
--- a/internal/control/connpool/characterization_test.go
+++ b/internal/control/connpool/characterization_test.go
@@ -13,9 +13,9 @@
 	"heathshed/placer"
 )
 
-// TestCharacterization compares the decisions of both policies, and the node statuses of Reachability, with a
-// golden file. The inputs of the policies are all combinations of selected values, and each decision is
-// recorded as a number. Package goldentest describes how the golden file is regenerated.
+// TestCharacterization compares the decisions of Policy and MultiplexedPolicy, and the node statuses that
+// Reachability determines, with a golden file. It passes all combinations of selected values to the policies, and
+// random events to Reachability. Package goldentest describes how the golden file is regenerated.
 func TestCharacterization(t *testing.T) {
 	record := goldentest.NewRecorder()
 	record.Line("%s", describeDefaults())
@@ -107,24 +107,24 @@
 	return results.String()
 }
 
-// digestNodeStatuses passes random messages and failed dials to a Reachability. It returns a digest of the node
-// statuses at several times after each of them.
+// digestNodeStatuses records random messages and failed dials in a Reachability. After each step, it determines the
+// node status for several later times. It returns a digest of all these node statuses.
 func digestNodeStatuses(seed uint64) string {
 	rng := rand.New(rand.NewPCG(seed, 5))
 	var statuses strings.Builder
 	var now clock.Instant
-	node := connpool.Reachability{UnresponsiveAfter: 6 * time.Second, ProcessEndedAfter: time.Second}
+	reachability := connpool.Reachability{UnresponsiveAfter: 6 * time.Second, ProcessEndedAfter: time.Second}
 	for range 200 {
 		now = now.Add([]time.Duration{0, 500 * time.Millisecond, time.Second, 1500 * time.Millisecond, 3 * time.Second}[rng.IntN(5)])
 		switch rng.IntN(8) {
 		case 0:
-			node.Received(now)
+			reachability.Received(now)
 		case 1, 2:
-			node.DialFailed(now, true)
+			reachability.DialFailed(now, true)
 		case 3, 4, 5:
-			node.DialFailed(now, rng.IntN(4) == 0)
+			reachability.DialFailed(now, rng.IntN(4) == 0)
 		}
-		statusAfter := func(d time.Duration) uint8 { return uint8(node.Status(now.Add(d))) }
+		statusAfter := func(d time.Duration) uint8 { return uint8(reachability.Status(now.Add(d))) }
 		fmt.Fprint(&statuses, statusAfter(0), statusAfter(time.Second), statusAfter(1001*time.Millisecond), statusAfter(6*time.Second), statusAfter(6500*time.Millisecond), " ")
 	}
 	return goldentest.Digest(statuses.String())
--- a/internal/control/connpool/connpool.go
+++ b/internal/control/connpool/connpool.go
@@ -1,6 +1,6 @@
-// Package connpool contains policies for network connections. They decide on which connection a request is
-// sent, when a connection is checked or closed, and when a node counts as unreachable. The package opens no
-// connections and reads no clock.
+// Package connpool contains policies for network connections. They decide on which connection a request is sent,
+// when a health check is sent on a connection, when a connection is closed, and when a node counts as unreachable.
+// The package opens no connections and reads no clock.
 //
 // The HTTP client in package httpc calls Policy.Choose to select among connections that carry one request at
 // a time. Package platform/server, whose connections to nodes carry many requests at a time, uses
@@ -18,12 +18,12 @@
 // a new connection.
 type Policy struct {
 	MaxConns             int           // MaxConns is the largest number of open connections; a value below 1 counts as 1.
-	MaxIdle              time.Duration // MaxIdle is the idle time after which a connection is closed instead of being used again.
-	MaxIdleNonIdempotent time.Duration // MaxIdleNonIdempotent is the limit that replaces MaxIdle for a request that is not idempotent.
+	MaxIdle              time.Duration // MaxIdle is the longest idle time after which a connection is used again; after a longer time, it is closed.
+	MaxIdleNonIdempotent time.Duration // MaxIdleNonIdempotent is the longest idle time after which a connection is used for a request that is not idempotent.
 }
 
-// DefaultPolicy returns a policy whose idle times are well below those after which servers commonly close idle
-// connections, and whose number of connections is well below what servers commonly accept.
+// DefaultPolicy returns a policy for connections to common servers. Its MaxIdle is well below the idle time after
+// which such servers close a connection, and its MaxConns is well below the number of connections that they accept.
 func DefaultPolicy() Policy {
 	return Policy{MaxConns: 32, MaxIdle: time.Minute, MaxIdleNonIdempotent: time.Second}
 }
@@ -33,15 +33,15 @@
 
 // The constants of type Action are the results of Policy.Choose.
 const (
-	UseIdle     Action = iota // The request is sent on the idle connection Decision.Index.
-	Dial                      // A new connection is opened for the request.
-	ReplaceIdle               // The idle connection Decision.Index, the longest idle one, is closed and a new one is opened.
-	Wait                      // The request is queued until a connection is free.
+	UseIdle     Action = iota // UseIdle means that the client sends the request on the idle connection Decision.Index.
+	Dial                      // Dial means that the client opens a new connection for the request.
+	ReplaceIdle               // ReplaceIdle means that the client closes the longest idle connection, Decision.Index, and opens a new one.
+	Wait                      // Wait means that the client queues the request until a connection is free.
 )
 
 // Decision states how a request obtains a connection. Index identifies the idle connection to which the Action
-// applies. Stale identifies the connections that the client closes first, because they have been idle for
-// longer than Policy.MaxIdle. Both contain indexes into the idleTimes that were passed to Policy.Choose.
+// applies. Stale identifies the connections that the client closes before the Action, because they have been idle
+// for longer than Policy.MaxIdle. Both contain indexes into the idleTimes that were passed to Policy.Choose.
 type Decision struct {
 	Action Action
 	Index  int
@@ -50,8 +50,8 @@
 
 // Choose decides how one request obtains a connection. The argument idleTimes contains the idle time of each
 // idle connection. The argument openConns is the number of all connections, including idle ones and those that
-// are being dialed. Choose prefers the most recently used connection, which lets surplus connections become
-// stale.
+// are being dialed. Choose prefers the most recently used connection, so surplus connections become stale and are
+// closed.
 func (p Policy) Choose(idleTimes []time.Duration, openConns int, nonIdempotent bool) Decision {
 	var decision Decision
 	mostRecent, leastRecent := -1, -1
--- a/internal/control/connpool/keepalive.go
+++ b/internal/control/connpool/keepalive.go
@@ -6,15 +6,16 @@
 	"heathshed/internal/control/clock"
 )
 
-// MultiplexedPolicy decides when a connection to a node is checked or closed, if the connection carries many
-// requests at a time.
+// MultiplexedPolicy decides when a health check is sent on a connection to a node, and when the connection is
+// closed. It applies to connections that carry many requests at a time.
 //
-// A health check is a message that the node answers at once, however busy it is. It distinguishes a slow node,
-// whose answers to requests will still arrive, from a connection that is open but no longer works.
+// A health check is a message that a node answers at once, even if it is busy. If no answer arrives, the connection
+// no longer works, although it is still open. If an answer arrives, the connection works, and a slow node will still
+// answer the pending requests.
 type MultiplexedPolicy struct {
-	MaxIdle            time.Duration // MaxIdle is the idle time after which a connection is closed if no message is lost; 0 means never.
-	HealthCheckAfter   time.Duration // HealthCheckAfter is the time without traffic after which a connection is checked if a message is expected.
-	HealthCheckTimeout time.Duration // HealthCheckTimeout limits the wait for the answer to a health check, and for the rest of a message.
+	MaxIdle            time.Duration // MaxIdle is the time since the last request after which a connection is closed if that loses no message; 0 means never.
+	HealthCheckAfter   time.Duration // HealthCheckAfter is the time without traffic after which a health check is sent if the node still has to send a message.
+	HealthCheckTimeout time.Duration // HealthCheckTimeout limits the wait for the answer to a health check and the wait for the rest of an incomplete message.
 }
 
 // DefaultMultiplexedPolicy returns a policy for nodes that answer health checks at once, over a network with
@@ -26,7 +27,7 @@
 // ConnState is the state of one connection to a node, on which MultiplexedPolicy.KeepAlive bases its decision.
 type ConnState struct {
 	PendingRequests int           // PendingRequests is the number of requests on the connection that the node has not answered.
-	RunsTasks       bool          // RunsTasks means that the node runs tasks and will report their ends.
+	RunsTasks       bool          // RunsTasks means that the node runs tasks and will report when they end.
 	HasAlternative  bool          // HasAlternative means that there is another connection to the same node.
 	LastSent        clock.Instant // LastSent is when a request was last sent on the connection.
 	LastReceived    clock.Instant // LastReceived is when any data last arrived on the connection.
@@ -53,9 +54,9 @@
 // The constants of type KeepAliveAction are the results of MultiplexedPolicy.KeepAlive.
 const (
 	NoAction          KeepAliveAction = iota
-	SendHealthCheck                   // SendHealthCheck means that a health check is sent on the connection.
-	CloseIdle                         // CloseIdle means that the connection is closed because it is idle, which loses no message.
-	CloseUnresponsive                 // CloseUnresponsive means that the connection is closed and the outcomes of its pending requests are unknown.
+	SendHealthCheck                   // SendHealthCheck means that the caller sends a health check on the connection.
+	CloseIdle                         // CloseIdle means that the caller closes the connection because it is idle; this loses no message.
+	CloseUnresponsive                 // CloseUnresponsive means that the caller closes the connection; the outcomes of its pending requests are unknown.
 )
 
 // KeepAlive returns the action that is due at the given time on a connection in the given state.
@@ -83,12 +84,12 @@
 // open connections and dials time out. If only the node's process has ended, the host still works and refuses
 // connections.
 type Reachability struct {
-	UnresponsiveAfter time.Duration // UnresponsiveAfter is the time without messages after which a node is unresponsive if a dial has failed.
-	ProcessEndedAfter time.Duration // ProcessEndedAfter is how long connections must be refused before the node's process counts as ended.
+	UnresponsiveAfter time.Duration // UnresponsiveAfter is the time without messages after which a node counts as unresponsive if a dial has failed.
+	ProcessEndedAfter time.Duration // ProcessEndedAfter is how long the host must refuse connections before the node's process counts as ended.
 
 	lastReceived  clock.Instant
 	refusedSince  clock.Instant // refusedSince is when dials began to be refused, or zero if the last dial was not refused.
-	hasFailedDial bool          // hasFailedDial means that a dial has failed since the time lastReceived.
+	hasFailedDial bool          // hasFailedDial means that a dial to the node has failed since lastReceived.
 }
 
 // Received records that a message from the node arrived or that a connection to the node was established.
@@ -119,8 +120,8 @@
 // The constants of type NodeStatus are the results of Reachability.Status.
 const (
 	Reachable    NodeStatus = iota
-	ProcessEnded            // The host refuses connections, so the node's process and all its tasks have ended.
-	Unresponsive            // The node does not answer, but its tasks possibly still run.
+	ProcessEnded            // ProcessEnded means that the host refuses connections, so the node's process and all its tasks have ended.
+	Unresponsive            // Unresponsive means that the node does not answer, but its tasks possibly still run.
 )
 
 // Status returns the status of the node at the given time. A node is unresponsive only if a dial has failed,
--- a/internal/control/connpool/keepalive_test.go
+++ b/internal/control/connpool/keepalive_test.go
@@ -18,15 +18,15 @@
 		state ConnState
 		want  KeepAliveAction
 	}{
-		{"connection with recent traffic", ConnState{PendingRequests: 1, LastSent: instantAt(99.5), LastReceived: instantAt(99)}, NoAction},
-		{"no traffic while a request is pending", ConnState{PendingRequests: 1, LastSent: instantAt(98.9), LastReceived: instantAt(98)}, SendHealthCheck},
-		{"no traffic while the node runs tasks", ConnState{RunsTasks: true, LastSent: instantAt(50), LastReceived: instantAt(98)}, SendHealthCheck},
-		{"health check sent less than HealthCheckTimeout ago", ConnState{RunsTasks: true, LastSent: instantAt(50), LastReceived: instantAt(98), HealthCheckSent: instantAt(99.6)}, NoAction},
-		{"health check unanswered for longer than HealthCheckTimeout", ConnState{PendingRequests: 3, LastSent: instantAt(99), LastReceived: instantAt(98), HealthCheckSent: instantAt(99.4)}, CloseUnresponsive},
-		{"message incomplete for longer than HealthCheckTimeout", ConnState{PendingRequests: 1, LastSent: instantAt(99.9), LastReceived: instantAt(99.9), IncompleteSince: instantAt(99.4)}, CloseUnresponsive},
-		{"idle for longer than MaxIdle", ConnState{LastSent: instantAt(90), LastReceived: instantAt(99)}, CloseIdle},
-		{"idle for longer than MaxIdle while the node runs tasks", ConnState{LastSent: instantAt(90), LastReceived: instantAt(99.5), RunsTasks: true}, NoAction},
-		{"idle for longer than MaxIdle while the node runs tasks, with another connection to the node", ConnState{LastSent: instantAt(90), LastReceived: instantAt(99.5), RunsTasks: true, HasAlternative: true}, CloseIdle},
+		{"traffic less than HealthCheckAfter ago while a request is pending", ConnState{PendingRequests: 1, LastSent: instantAt(99.5), LastReceived: instantAt(99)}, NoAction},
+		{"no traffic for longer than HealthCheckAfter while a request is pending", ConnState{PendingRequests: 1, LastSent: instantAt(98.9), LastReceived: instantAt(98)}, SendHealthCheck},
+		{"no traffic for longer than HealthCheckAfter while the node runs tasks", ConnState{RunsTasks: true, LastSent: instantAt(50), LastReceived: instantAt(98)}, SendHealthCheck},
+		{"unanswered health check sent less than HealthCheckTimeout ago", ConnState{RunsTasks: true, LastSent: instantAt(50), LastReceived: instantAt(98), HealthCheckSent: instantAt(99.6)}, NoAction},
+		{"unanswered health check sent more than HealthCheckTimeout ago", ConnState{PendingRequests: 3, LastSent: instantAt(99), LastReceived: instantAt(98), HealthCheckSent: instantAt(99.4)}, CloseUnresponsive},
+		{"received message incomplete for longer than HealthCheckTimeout", ConnState{PendingRequests: 1, LastSent: instantAt(99.9), LastReceived: instantAt(99.9), IncompleteSince: instantAt(99.4)}, CloseUnresponsive},
+		{"connection idle for longer than MaxIdle, node runs no tasks", ConnState{LastSent: instantAt(90), LastReceived: instantAt(99)}, CloseIdle},
+		{"connection idle for longer than MaxIdle, node runs tasks and has no other connection", ConnState{LastSent: instantAt(90), LastReceived: instantAt(99.5), RunsTasks: true}, NoAction},
+		{"connection idle for longer than MaxIdle, node runs tasks and has another connection", ConnState{LastSent: instantAt(90), LastReceived: instantAt(99.5), RunsTasks: true, HasAlternative: true}, CloseIdle},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			if got := policy.KeepAlive(instantAt(100), test.state); got != test.want {
@@ -37,28 +37,28 @@
 }
 
 func TestReachability(t *testing.T) {
-	node := Reachability{UnresponsiveAfter: 6 * time.Second, ProcessEndedAfter: time.Second}
-	node.Received(instantAt(100))
-	node.DialFailed(instantAt(101), false)
-	if node.Status(instantAt(105.9)) != Reachable || node.Status(instantAt(106.1)) != Unresponsive {
-		t.Error("a node whose dials time out did not become unresponsive 6 s after its last message")
+	reachability := Reachability{UnresponsiveAfter: 6 * time.Second, ProcessEndedAfter: time.Second}
+	reachability.Received(instantAt(100))
+	reachability.DialFailed(instantAt(101), false)
+	if reachability.Status(instantAt(105.9)) != Reachable || reachability.Status(instantAt(106.1)) != Unresponsive {
+		t.Error("a node whose dials time out did not change from Reachable to Unresponsive 6 s after its last message")
 	}
-	node.Received(instantAt(107))
-	node.DialFailed(instantAt(108), true)
-	if node.Status(instantAt(108.9)) != Reachable || node.Status(instantAt(109.1)) != ProcessEnded {
-		t.Error("a node whose dials are refused did not get the status ProcessEnded after 1 s")
+	reachability.Received(instantAt(107))
+	reachability.DialFailed(instantAt(108), true)
+	if reachability.Status(instantAt(108.9)) != Reachable || reachability.Status(instantAt(109.1)) != ProcessEnded {
+		t.Error("a node whose dials are refused did not change from Reachable to ProcessEnded 1 s after the first refused dial")
 	}
-	node.DialFailed(instantAt(109), false) // A dial that times out does not show that the node's process has ended.
-	if node.Status(instantAt(110)) != Reachable {
-		t.Error("a dial that timed out did not end the period of refused dials")
+	reachability.DialFailed(instantAt(109), false) // A dial that times out does not show that the node's process has ended.
+	if reachability.Status(instantAt(110)) != Reachable {
+		t.Error("a node whose dial was refused and whose next dial timed out is not Reachable 3 s after its last message")
 	}
-	node.Received(instantAt(200))
-	if node.Status(instantAt(300)) != Reachable {
-		t.Error("a node without failed dials is not reachable after 100 s without messages")
+	reachability.Received(instantAt(200))
+	if reachability.Status(instantAt(300)) != Reachable {
+		t.Error("a node to which no dial has failed is not Reachable 100 s after its last message")
 	}
-	silentNode := Reachability{UnresponsiveAfter: 6 * time.Second, ProcessEndedAfter: time.Second}
-	silentNode.DialFailed(instantAt(50), false)
-	if silentNode.Status(instantAt(55)) != Reachable || silentNode.Status(instantAt(57)) != Unresponsive {
-		t.Error("a node that never sent a message did not become unresponsive 6 s after its first failed dial")
+	reachabilityWithoutMessages := Reachability{UnresponsiveAfter: 6 * time.Second, ProcessEndedAfter: time.Second}
+	reachabilityWithoutMessages.DialFailed(instantAt(50), false)
+	if reachabilityWithoutMessages.Status(instantAt(55)) != Reachable || reachabilityWithoutMessages.Status(instantAt(57)) != Unresponsive {
+		t.Error("a node that never sent a message did not change from Reachable to Unresponsive 6 s after its first failed dial")
 	}
 }
--- a/internal/control/eventqueue/characterization_test.go
+++ b/internal/control/eventqueue/characterization_test.go
@@ -12,9 +12,9 @@
 	"heathshed/placer"
 )
 
-// TestCharacterization compares the order in which a queue passes events and executes actions, and the results
-// of TimerDelay, with a golden file. Some actions post further events and call Queue.Run again. Package
-// goldentest describes how the golden file is regenerated.
+// TestCharacterization compares with a golden file in which order a queue passes events to the placer and executes
+// actions. The function Queue.Execute posts further events and calls Queue.Run for some actions. The test also
+// compares the results of TimerDelay. Package goldentest describes how the golden file is regenerated.
 func TestCharacterization(t *testing.T) {
 	record := goldentest.NewRecorder()
 	for seed := uint64(1); seed <= 10; seed++ {
@@ -42,8 +42,8 @@
 	return actions
 }
 
-// runRandomEvents posts a random number of events per step. It returns a text that lists the events and actions
-// in the order in which the queue passed or executed them.
+// runRandomEvents posts a random number of events in each of 40 steps. It returns a text that lists all events and
+// actions in the order in which the queue passed the events to the placer and executed the actions.
 func runRandomEvents(seed uint64) string {
 	rng := rand.New(rand.NewPCG(seed, 4))
 	var order strings.Builder
@@ -52,7 +52,7 @@
 		fmt.Fprintf(&order, "a%d ", action.Token)
 		if action.Token < 100000 && rng.IntN(2) == 0 {
 			queue.Post(placer.Event{Kind: placer.TimerFired, Token: action.Token})
-			queue.Run(-1) // A call of Run while an action is executed does nothing.
+			queue.Run(-1) // This call does nothing, because an outer call of Run is executing an action.
 		}
 	}
 	for step := range 40 {
--- a/internal/control/eventqueue/eventqueue.go
+++ b/internal/control/eventqueue/eventqueue.go
@@ -8,10 +8,10 @@
 
 import "heathshed/placer"
 
-// MinDelay is the shortest delay of a timer. A floating-point number that counts seconds since the Unix epoch
-// has steps of 2.4e-7 s today. If less than one step is added to such a time, the sum can be the same time
-// again. Without MinDelay, the timer of a placer that waits for a deadline less than one step away would fire
-// at the same time again and again.
+// MinDelay is the shortest delay of a timer. Present-day times, as floating-point seconds since the Unix epoch, are
+// multiples of 2.4e-7 s. If a shorter delay is added to such a time, the sum can be rounded to the same time. A
+// placer that waits for a deadline less than 2.4e-7 s away would then set a timer that fires at the current time,
+// and would do so again and again.
 const MinDelay placer.Seconds = 1e-6
 
 // Placer makes the placement decisions. Tests replace the *placer.Placer with another implementation.
@@ -56,6 +56,6 @@
 	q.running = false
 }
 
-// TimerDelay returns the delay with which a timer is set if the placer requests the given delay. The result is
+// TimerDelay returns the delay after which a timer fires if the placer requests the given delay. The result is
 // never less than MinDelay.
 func TimerDelay(requestedDelay placer.Seconds) placer.Seconds { return max(requestedDelay, MinDelay) }
--- a/internal/control/timerqueue/timerqueue.go
+++ b/internal/control/timerqueue/timerqueue.go
@@ -18,14 +18,14 @@
 // is not safe for concurrent use.
 type Queue[Time cmp.Ordered] struct {
 	timers       timerHeap[Time]
-	lastSequence uint64
+	lastSequence uint64 // lastSequence is the sequence of the timer that was added last.
 }
 
 // Timer is a function together with the time at which the function is to run.
 type Timer[Time cmp.Ordered] struct {
 	At       Time   // At is the time at which Run is to be called.
 	Run      func() // Run is the function of the timer. The owner of the queue calls it.
-	sequence uint64 // sequence determines the order of timers with equal times.
+	sequence uint64 // sequence determines the order of timers with equal times; a timer that is added later has a greater sequence.
 	index    int    // index is the position of the timer in the heap, or notQueued.
 }
 
@@ -58,8 +58,8 @@
 	return q.timers[0].At
 }
 
-// Pop removes and returns the earliest timer if its time has come, which means that it is not later than now.
-// Otherwise Pop returns nil. The caller then calls Timer.Run.
+// Pop removes and returns the earliest timer if its time is not later than now. Otherwise, it returns nil. The
+// caller is responsible for calling the function Run of the returned timer.
 func (q *Queue[Time]) Pop(now Time) *Timer[Time] {
 	if len(q.timers) == 0 || q.timers[0].At > now {
 		return nil
