--- a/internal/control/decodelimit/bench_test.go
+++ b/internal/control/decodelimit/bench_test.go
@@ -9,7 +9,7 @@
 	"k8s.io/apimachinery/pkg/api/resource"
 )
 
-// benchmarkJob returns a Job with four containers.
+// benchmarkJob returns a Job with four containers, which the benchmarks encode and check.
 func benchmarkJob() *batchv1.Job {
 	job := &batchv1.Job{}
 	job.Name = "job-144e1135"
@@ -36,7 +36,7 @@
 	}
 }
 
-// BenchmarkCheckJSON measures how long CheckJSON takes for a Job in JSON.
+// BenchmarkCheckJSON measures how long CheckJSON takes to check a Job that is encoded in JSON.
 func BenchmarkCheckJSON(b *testing.B) {
 	text, err := json.Marshal(benchmarkJob())
 	if err != nil {
@@ -45,7 +45,7 @@
 	benchmarkCheck(b, text, CheckJSON)
 }
 
-// BenchmarkCheckProto measures how long CheckProto takes for a Job in protobuf.
+// BenchmarkCheckProto measures how long CheckProto takes to check a Job that is encoded in protobuf.
 func BenchmarkCheckProto(b *testing.B) {
 	message, err := benchmarkJob().Marshal()
 	if err != nil {
--- a/internal/control/decodelimit/decodelimit_test.go
+++ b/internal/control/decodelimit/decodelimit_test.go
@@ -8,9 +8,9 @@
 	"k8s.io/apimachinery/pkg/types"
 )
 
-// TestCheckQuantity checks that CheckQuantity rejects quantities that exceed a limit and accepts any text
-// that is not a quantity. A UID can begin like a number with a large exponent. If such a UID were rejected,
-// the scheduler would not see a Pod that runs a task.
+// TestCheckQuantity checks that CheckQuantity rejects quantities that exceed a limit and accepts any text that is
+// not a quantity. A UID can begin like a number with a large exponent. If CheckQuantity rejected such a UID, the
+// scheduler would not learn of a Pod that already runs a task.
 func TestCheckQuantity(t *testing.T) {
 	limits := ObjectLimits()
 	for _, test := range []struct {
@@ -19,19 +19,19 @@
 	}{
 		{"integer without a unit", "1", true},
 		{"integer with a decimal unit", "500m", true},
-		{"lower-case exponent", "1e3", true},
-		{"upper-case exponent", "1E6", true},
+		{"exponent after a lower-case letter e", "1e3", true},
+		{"exponent after an upper-case letter E", "1E6", true},
 		{"integer with a binary unit", "100Ki", true},
-		{"largest accepted exponent", "1e99", true},
+		{"exponent equal to the limit", "1e99", true},
 		{"empty text", "", true},
-		{"exponent without digits before it", "e9999", true},
+		{"text that begins with a letter e and digits", "e9999", true},
 		{"UID that begins like a number with a large exponent", "144e1135-fce3-47cd-83ea-3cf99f69d193", true},
 		{"UID that begins like a number with a larger exponent", "3e33835c-4f55-4600-ad83-2c224c2f507e", true},
-		{"too large an exponent followed by a letter", "1e1000x", true},
-		{"too many digits for a quantity, followed by more than a unit", strings.Repeat("9", 70) + "-rest", true},
+		{"exponent above the limit, followed by a letter", "1e1000x", true},
+		{"more digits than the limit, followed by a text longer than any unit", strings.Repeat("9", 70) + "-rest", true},
 		{"exponent one above the limit", "1e100", false},
 		{"exponent far above the limit", "1e1000000000", false},
-		{"negative exponent far below the limit", "-1e-2147483647", false},
+		{"negative exponent whose absolute value is far above the limit", "-1e-2147483647", false},
 		{"exponent above the limit after a sign and a decimal point", "+.5E999", false},
 		{"one digit more than the limit", strings.Repeat("9", 65), false},
 		{"one digit more than the limit, followed by a unit", strings.Repeat("9", 65) + "Ki", false},
@@ -42,7 +42,7 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			if err := CheckQuantity([]byte(test.text), limits); (err == nil) != test.accepted {
-				t.Errorf("CheckQuantity(%.40q) = %v, want nil instead of an error or an error instead of nil", test.text, err)
+				t.Errorf("CheckQuantity(%.40q) = %v; want an error if this is <nil>, or <nil> if this is an error", test.text, err)
 			}
 		})
 	}
@@ -64,10 +64,10 @@
 				t.Fatal(err)
 			}
 			if err := CheckProto(message, ObjectLimits()); err != nil {
-				t.Errorf("CheckProto rejects a Pod whose UID is the name of the subtest: %v", err)
+				t.Errorf("CheckProto returned an error for a Pod whose UID is the name of this subtest: %v", err)
 			}
 			if err := CheckJSON([]byte(`{"metadata":{"uid":"`+uid+`"}}`), ObjectLimits()); err != nil {
-				t.Errorf("CheckJSON rejects an object whose UID is the name of the subtest: %v", err)
+				t.Errorf("CheckJSON returned an error for an object whose UID is the name of this subtest: %v", err)
 			}
 		})
 	}
--- a/internal/control/decodelimit/json.go
+++ b/internal/control/decodelimit/json.go
@@ -4,8 +4,8 @@
 // of Limits.Depth counts as maxNesting.
 const maxNesting = 1023
 
-// nonQuantityFields contains the names of object members whose values never contain quantities. Such a value
-// is a string, or an object or array of strings, and the strings are not checked as quantities.
+// nonQuantityFields contains the names of object members whose values never contain quantities. Such a value is a
+// string, or an object or array of strings. CheckJSON does not check these strings as quantities.
 var nonQuantityFields = map[string]bool{
 	"annotations":  true,
 	"args":         true,
@@ -20,8 +20,8 @@
 	"values":       true,
 }
 
-// CheckJSON checks a JSON text and returns an *Error if the text exceeds a limit. CheckJSON does not validate
-// the JSON syntax, which the decoder does. A text for which CheckJSON returns nil is safe to decode.
+// CheckJSON checks a JSON text and returns an *Error if the text exceeds a limit. CheckJSON does not validate the
+// JSON syntax, because the decoder does so later. A text for which CheckJSON returns nil is safe to decode.
 func CheckJSON(text []byte, limits Limits) error {
 	if err := limits.checkBytes(text); err != nil {
 		return err
@@ -44,10 +44,10 @@
 
 	depth            int
 	valueCount       int
-	nonQuantityDepth int    // nonQuantityDepth is the depth of the object or array that is the value of a nonQuantityFields member, or 0.
-	memberName       []byte // memberName is the member name of the next value in an object, or nil in an array.
-	expectsName      bool   // expectsName means that the next string is a member name of an object.
-	inObject         [maxNesting + 1]bool
+	nonQuantityDepth int                  // nonQuantityDepth is the depth of the enclosing value of a member in nonQuantityFields, or 0 if there is none.
+	memberName       []byte               // memberName is the member name of the next value if that value is in an object, or nil if it is in an array.
+	expectsName      bool                 // expectsName means that the next string is a member name of an object.
+	inObject         [maxNesting + 1]bool // inObject states for each depth up to the current one whether an object, not an array, is open there.
 }
 
 func (s *jsonScanner) scan() *Error {
--- a/internal/control/decodelimit/limits.go
+++ b/internal/control/decodelimit/limits.go
@@ -1,7 +1,7 @@
 // Package decodelimit checks JSON and protobuf input before it is decoded. It rejects input that would take too
 // much time or memory to decode. Limits apply to the length of the input, the nesting depth, the number of
-// values, the length of numbers, and the exponents of resource quantities. A quantity with a large exponent is
-// short to write, but expensive to compute with.
+// values, the length of numbers, and the digits and exponents of resource quantities. A quantity with a large
+// exponent can be a short text, but computing with its value is expensive.
 //
 // The API server passes request bodies to CheckJSON and CheckProto before it decodes them. Package reflector
 // does the same with the objects that it receives from an API server.
@@ -15,9 +15,9 @@
 // Limits contains the upper bounds that an input must not exceed. A field with the value 0 imposes no limit.
 type Limits struct {
 	Bytes        int // Bytes limits the length of the input in bytes.
-	Depth        int // Depth limits the nesting depth of JSON objects and arrays, or of protobuf messages.
-	Values       int // Values limits the number of JSON values, without member names, or of protobuf fields.
-	NumberLength int // NumberLength limits the number of characters of a JSON number.
+	Depth        int // Depth limits how deeply JSON objects and arrays, or protobuf messages, are nested.
+	Values       int // Values limits the number of JSON values or protobuf fields; member names of JSON objects do not count as values.
+	NumberLength int // NumberLength limits the length of a JSON number in characters.
 	Exponent     int // Exponent limits the absolute value of the decimal exponent of a number or quantity.
 	Digits       int // Digits limits the number of digits before the exponent or unit of a number or quantity.
 }
@@ -34,8 +34,7 @@
 	}
 }
 
-// Violation states in which respect an input exceeds the limits. Its text is part of the error message that
-// clients receive.
+// Violation states which limit an input exceeds. Its text is part of the error message that clients receive.
 type Violation string
 
 // The constants of type Violation are the violations that an Error reports.
@@ -61,8 +60,8 @@
 	return fmt.Sprintf("%s at byte %d: at most %d", e.Violation, e.Offset, e.Limit)
 }
 
-// TooLarge reports whether the input exceeds Limits.Bytes or Limits.Values, which limit its size. The other
-// limits apply to its structure and its numbers.
+// TooLarge reports whether the exceeded limit is Limits.Bytes or Limits.Values, which limit the size of the input.
+// The other limits apply to the structure of the input and to its numbers.
 func (e *Error) TooLarge() bool { return e.Violation == TooManyBytes || e.Violation == TooManyValues }
 
 // checkBytes returns an error if the input is longer than Limits.Bytes.
@@ -73,8 +72,8 @@
 	return nil
 }
 
-// countValue adds one to the number of values. It returns an error if this number then exceeds Limits.Values.
-// The argument offset is the position of the value in the input.
+// countValue increments valueCount and returns an error if the number of values then exceeds Limits.Values. The
+// argument offset is the position of the last counted value in the input.
 func (l *Limits) countValue(valueCount *int, offset int) *Error {
 	*valueCount++
 	if l.Values > 0 && *valueCount > l.Values {
--- a/internal/control/decodelimit/proto.go
+++ b/internal/control/decodelimit/proto.go
@@ -6,8 +6,8 @@
 const anyFieldNumber = 1
 
 // CheckProto checks a protobuf message and returns an *Error if the message exceeds a limit. CheckProto has no
-// schema, so it cannot distinguish a string from a nested message. It checks each length-delimited field as a
-// quantity, and also as a message if the bytes of the field form one.
+// schema, so it cannot distinguish a string from a nested message. It checks the content of each length-delimited
+// field as a quantity, and also as a nested message if the content has the form of a message.
 func CheckProto(message []byte, limits Limits) error {
 	if err := limits.checkBytes(message); err != nil {
 		return err
@@ -38,9 +38,9 @@
 			return false, nil
 		}
 		rest = rest[n:]
-		var value []byte // The value stays empty if the field is not length-delimited.
+		var content []byte // The content stays empty if the field is not length-delimited.
 		if wireType == protowire.BytesType {
-			value, n = protowire.ConsumeBytes(rest)
+			content, n = protowire.ConsumeBytes(rest)
 		} else {
 			n = protowire.ConsumeFieldValue(anyFieldNumber, wireType, rest)
 		}
@@ -49,28 +49,28 @@
 		}
 		rest = rest[n:]
 		if err == nil { // After an error, only the result wellFormed has to be determined.
-			err = s.checkField(value, depth, fieldOffset)
+			err = s.checkField(content, depth, fieldOffset)
 		}
 	}
 	return true, err
 }
 
-// checkField counts one field of a message as a value and checks it as a quantity and as a nested message. The
-// argument value is empty if the field is not length-delimited.
-func (s *messageScanner) checkField(value []byte, depth, offset int) *Error {
+// checkField counts one field of a message as a value. If the field is length-delimited, checkField also checks the
+// content of the field as a quantity and as a nested message. For any other field, the argument content is empty.
+func (s *messageScanner) checkField(content []byte, depth, offset int) *Error {
 	if err := s.limits.countValue(&s.valueCount, offset); err != nil {
 		return err
 	}
-	if len(value) == 0 {
+	if len(content) == 0 {
 		return nil
 	}
-	if err := checkQuantityAt(value, &s.limits, offset); err != nil || len(value) == 1 {
+	if err := checkQuantityAt(content, &s.limits, offset); err != nil || len(content) == 1 {
 		return err
 	}
 	valueCountBefore := s.valueCount
-	wellFormed, err := s.scan(value, depth+1, offset)
+	wellFormed, err := s.scan(content, depth+1, offset)
 	if !wellFormed {
-		s.valueCount = valueCountBefore // The field is no message, so the values that were counted in it do not count.
+		s.valueCount = valueCountBefore // The field contains no message, so the values that scan counted in it do not count.
 	}
 	return err
 }
--- a/internal/control/decodelimit/quantity.go
+++ b/internal/control/decodelimit/quantity.go
@@ -3,19 +3,19 @@
 import "bytes"
 
 const (
-	// maxUnitLength is the length of the longest unit of a quantity, in bytes. Digits before a longer text are
-	// not a quantity but, for example, the beginning of a UID.
+	// maxUnitLength is the length of the longest unit of a quantity, in bytes. If a longer text follows the digits
+	// in a string, the string is not a quantity but, for example, a UID.
 	maxUnitLength = 3
-	// maxParsedExponent is the value at which the parsed exponent stops growing. It prevents an integer overflow.
+	// maxParsedExponent replaces a greater exponent when the exponent is parsed, which prevents an integer overflow.
 	maxParsedExponent = 1 << 30
-	// maxEscapedLength is the greatest length, in bytes, of a quantity with JSON escapes after the escapes are
-	// decoded. A longer quantity with escapes is rejected.
-	maxEscapedLength = 256
+	// maxUnescapedLength is the greatest length, in bytes, of the text that results from decoding the JSON escapes
+	// of a quantity. A quantity with escapes is rejected if that text is longer.
+	maxUnescapedLength = 256
 )
 
-// CheckQuantity checks a string or number that is possibly decoded as a resource quantity, such as 1e3 or
-// 500m. It returns nil for a text that is not a quantity. If the text contains JSON escapes, CheckQuantity
-// decodes them first.
+// CheckQuantity checks a string or number that the caller possibly decodes as a resource quantity, such as 1e3 or
+// 500m. It returns nil if the text is not a quantity. CheckQuantity also checks a quantity whose characters are
+// written as JSON escapes.
 func CheckQuantity(text []byte, limits Limits) *Error { return checkQuantity(text, &limits) }
 
 // checkQuantityAt checks a quantity that begins at the given offset of the input. The offset in the returned
@@ -73,7 +73,7 @@
 	if exponentText[end] == '\\' {
 		return checkEscapedQuantity(text, limits)
 	}
-	return nil // The text is no quantity. For example, the UID 144e1135-fce3-47cd-83ea-3cf99f69d193 has this form.
+	return nil // The text is not a quantity but, for example, the UID 144e1135-fce3-47cd-83ea-3cf99f69d193.
 }
 
 func signLength(text []byte) int {
@@ -96,35 +96,35 @@
 
 func isLetter(c byte) bool { return c|32 >= 'a' && c|32 <= 'z' }
 
-// checkEscapedQuantity decodes the JSON escapes of a quantity and checks the decoded text. It rejects the
-// quantity if the decoded text is longer than maxEscapedLength.
+// checkEscapedQuantity decodes the JSON escapes of a quantity and checks the resulting text. It rejects the quantity
+// if the resulting text is longer than maxUnescapedLength.
 func checkEscapedQuantity(text []byte, limits *Limits) *Error {
-	var decoded [maxEscapedLength]byte
-	n, ok := unescape(&decoded, text)
+	var buffer [maxUnescapedLength]byte
+	n, ok := unescape(&buffer, text)
 	if !ok {
 		return &Error{TooManyDigits, limits.Digits, 0}
 	}
-	return checkQuantity(decoded[:n], limits)
+	return checkQuantity(buffer[:n], limits)
 }
 
-// unescape decodes the JSON escapes of a text into the array decoded and returns the length of the decoded
-// text. The result ok is false if the decoded text does not fit. The caller only needs ASCII digits, signs
-// and letters. Any other escaped character is replaced by a character that occurs in no quantity, and never
-// by a backslash.
-func unescape(decoded *[maxEscapedLength]byte, text []byte) (n int, ok bool) {
+// unescape decodes the JSON escapes of a text, writes the resulting text to the buffer, and returns the length of
+// the resulting text. The result ok is false if the resulting text does not fit into the buffer. The caller needs
+// only ASCII digits, signs and letters. An escape of another character can be decoded to a different character that
+// occurs in no quantity, but never to a backslash.
+func unescape(buffer *[maxUnescapedLength]byte, text []byte) (n int, ok bool) {
 	for i := 0; i < len(text); n++ {
-		if n == len(decoded) {
+		if n == len(buffer) {
 			return 0, false
 		}
 		switch {
 		case text[i] != '\\':
-			decoded[n] = text[i]
+			buffer[n] = text[i]
 			i++
 		case i+5 < len(text) && text[i+1] == 'u':
-			decoded[n] = unescapeHex(text[i+2 : i+6])
+			buffer[n] = unescapeHex(text[i+2 : i+6])
 			i += 6
 		default:
-			decoded[n] = '?'
+			buffer[n] = '?'
 			i += 2
 		}
 	}
--- a/internal/control/memquota/budget.go
+++ b/internal/control/memquota/budget.go
@@ -2,8 +2,8 @@
 
 import "heathshed/internal/control/clock"
 
-// MinAllowance is the number of bytes that may always be allocated for a connection that uses no memory yet.
-// One small event or response therefore never waits for other connections.
+// MinAllowance is the number of bytes that may always be allocated for a connection that uses no memory yet. One
+// small event or response is therefore sent without waiting until other connections free memory.
 const MinAllowance = 4 << 10
 
 // Budget is an amount of memory, in bytes, that several connections share. The zero value is not usable; New
@@ -18,7 +18,7 @@
 
 type connectionState struct {
 	used         int64
-	lastShrunkAt clock.Instant // lastShrunkAt is when the used memory last decreased, or when the connection was added.
+	lastShrunkAt clock.Instant // lastShrunkAt is when the memory of the connection last decreased, or when the connection was added if it never did.
 }
 
 // New returns a budget with the given number of bytes and without connections. A number below MinAllowance
@@ -76,8 +76,9 @@
 	connection.used = used
 }
 
-// ConnectionToEvict selects a connection to evict if all connections together use more than the total.
-// Otherwise overLimit is false. The caller removes the selected connection and calls ConnectionToEvict again.
+// ConnectionToEvict selects a connection to evict if all connections together use more memory than the budget
+// allows. Otherwise overLimit is false. The caller removes the selected connection and then calls
+// ConnectionToEvict again.
 func (b *Budget) ConnectionToEvict() (id uint64, overLimit bool) {
 	if b.used <= b.total {
 		return 0, false
@@ -88,8 +89,8 @@
 		if connection.used <= largest/2 {
 			continue
 		}
-		// Among connections whose memory last decreased at the same time, the one with the lowest id is
-		// selected. The result therefore does not depend on the iteration order of the map.
+		// If the memory of several connections last decreased at the same time, the connection with the lowest
+		// id is selected. The selection therefore does not depend on the iteration order of the map.
 		shrankEarlier := connection.lastShrunkAt < earliestShrink || connection.lastShrunkAt == earliestShrink && candidateID < id
 		if !overLimit || shrankEarlier {
 			id = candidateID
--- a/internal/control/memquota/characterization_test.go
+++ b/internal/control/memquota/characterization_test.go
@@ -12,11 +12,11 @@
 	"heathshed/internal/testsupport/goldentest"
 )
 
-// TestCharacterization compares the results of Divide, of Budget and of SelectEviction with a golden file. The
-// calls of Budget and the connections for SelectEviction are random numbers from fixed seeds.
+// TestCharacterization compares the results of Divide, of the methods of Budget and of SelectEviction with a golden
+// file. Random generators with fixed seeds determine the method calls and the candidates for eviction.
 //
-// Regenerate the golden file with HEATHSHED_UPDATE_GOLDEN=1 only if the behaviour is meant to change; package
-// goldentest describes how.
+// Regenerate the golden file with HEATHSHED_UPDATE_GOLDEN=1 only if the behaviour of package memquota is meant to
+// change; package goldentest describes how.
 func TestCharacterization(t *testing.T) {
 	record := goldentest.NewRecorder()
 	record.Line("bounds %d %d", memquota.MinAllowance, memquota.MinMemory)
--- a/internal/control/memquota/eviction.go
+++ b/internal/control/memquota/eviction.go
@@ -10,9 +10,9 @@
 }
 
 // SelectEviction returns the index of the connection to evict when a connection slot is needed, or -1 if all
-// connections are busy. It never selects a busy connection, and it selects an established connection only if
-// all others are established or busy. Among the remaining connections, it selects the one with the longest
-// idle time, and the first of several with equal idle times.
+// connections are busy. It never selects a busy connection. It selects an established connection only if each
+// other connection is established or busy. Among the connections that it can select by these rules, it selects
+// the one with the longest idle time, or the first of those with the longest idle time.
 func SelectEviction(candidates []EvictionCandidate) int {
 	selected := -1
 	for i, candidate := range candidates {
@@ -26,8 +26,8 @@
 	return selected
 }
 
-// evictedBefore reports whether the connection c is evicted rather than the connection other. The
-// caller passes only connections that are not busy.
+// evictedBefore reports whether the connection c is selected for eviction rather than the connection other.
+// Neither connection may be busy.
 func (c EvictionCandidate) evictedBefore(other EvictionCandidate) bool {
 	if c.Established != other.Established {
 		return other.Established
--- a/internal/control/memquota/eviction_test.go
+++ b/internal/control/memquota/eviction_test.go
@@ -11,10 +11,10 @@
 		candidates []EvictionCandidate
 		want       int
 	}{
-		{"no connections", nil, -1},
-		{"all connections busy", []EvictionCandidate{{Busy: true, IdleTime: 9 * time.Second}, {Busy: true}}, -1},
-		{"longest idle time among connections that are not established", []EvictionCandidate{{IdleTime: 1 * time.Second}, {IdleTime: 3 * time.Second}, {IdleTime: 2 * time.Second}}, 1},
-		{"connection that is not established before an established one with a longer idle time", []EvictionCandidate{{Established: true, IdleTime: 90 * time.Second}, {IdleTime: 1 * time.Second}}, 1},
+		{"no connection to select from", nil, -1},
+		{"no selection if all connections are busy", []EvictionCandidate{{Busy: true, IdleTime: 9 * time.Second}, {Busy: true}}, -1},
+		{"connection with the longest idle time if no connection is established", []EvictionCandidate{{IdleTime: 1 * time.Second}, {IdleTime: 3 * time.Second}, {IdleTime: 2 * time.Second}}, 1},
+		{"connection that is not established although an established connection has a longer idle time", []EvictionCandidate{{Established: true, IdleTime: 90 * time.Second}, {IdleTime: 1 * time.Second}}, 1},
 		{
 			"established connection with the longest idle time if all others are busy",
 			[]EvictionCandidate{{Established: true, IdleTime: 1 * time.Second}, {Busy: true, IdleTime: 9 * time.Second}, {Established: true, IdleTime: 2 * time.Second}},
--- a/internal/control/memquota/memquota_test.go
+++ b/internal/control/memquota/memquota_test.go
@@ -14,14 +14,14 @@
 
 // TestBudget simulates connections that allocate the memory available to them and connections that allocate
 // more. It checks that:
-//   - the connections fit into the total after the selected connections are evicted,
+//   - the connections use at most the total after the selected connections are evicted,
 //   - no connection is evicted while another connection uses more than twice as much memory,
-//   - memory is always available to a connection that uses none,
+//   - memory is always available to a connection that uses no memory,
 //   - no memory counts as used after all connections are removed.
 func TestBudget(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		model := newBudgetModel(t)
-		for range rapid.IntRange(1, 200).Draw(t, "steps") {
+		for range rapid.IntRange(1, 200).Draw(t, "number of steps") {
 			model.step()
 			model.evict()
 			model.checkSums()
@@ -35,8 +35,8 @@
 	})
 }
 
-// budgetModel is a budget whose connections allocate random amounts of memory, together with a record of how
-// much memory each connection uses.
+// budgetModel is a budget whose connections allocate random amounts of memory. It also records, independently of
+// the budget, how much memory each connection uses.
 type budgetModel struct {
 	*rapid.T
 	budget   *Budget
@@ -64,16 +64,16 @@
 	used, ok := model.usedByID[id]
 	if !ok {
 		if model.budget.Available(id) != 0 {
-			model.Fatal("memory is available to a connection that was removed")
+			model.Fatal("Available returned a number other than 0 for a connection that is not in the budget")
 		}
 		return
 	}
-	switch rapid.IntRange(0, 3).Draw(model.T, "operation") {
+	switch rapid.IntRange(0, 3).Draw(model.T, "operation: 0 or 1 allocates, 2 frees half, 3 removes the connection") {
 	case 0:
 		model.allocateAvailable(id, used)
 	case 1: // The connection may exceed the memory that is available to it.
 		model.setUsed(id, used+rapid.Int64Range(0, model.total).Draw(model.T, "additional bytes"))
-	case 2: // The connection frees half of its memory.
+	case 2: // The connection frees about half of its memory.
 		model.setUsed(id, used/2)
 	case 3:
 		model.remove(id)
@@ -83,12 +83,12 @@
 func (model *budgetModel) allocateAvailable(id uint64, used int64) {
 	available := model.budget.Available(id)
 	if used == 0 && available < min(MinAllowance, model.total) {
-		model.Fatalf("only %d bytes are available to a connection that uses no memory, want at least MinAllowance or the total", available)
+		model.Fatalf("only %d bytes are available to a connection that uses no memory, want at least the smaller of MinAllowance and the total", available)
 	}
 	before := model.budget.Used()
 	model.setUsed(id, used+available)
 	if used > 0 && before <= model.total && model.budget.Used() > model.total {
-		model.Fatalf("after an allocation of the available memory, connections use %d bytes, which exceeds the total of %d bytes", model.budget.Used(), model.total)
+		model.Fatalf("after a connection has allocated the memory available to it, all connections use %d bytes, which exceeds the total of %d bytes", model.budget.Used(), model.total)
 	}
 }
 
@@ -108,7 +108,7 @@
 	for id, overLimit := model.budget.ConnectionToEvict(); overLimit; id, overLimit = model.budget.ConnectionToEvict() {
 		for other, used := range model.usedByID {
 			if used > 2*model.usedByID[id]+1 {
-				model.Fatalf("connection %d is evicted although it uses %d bytes and connection %d uses %d bytes, which is more than twice as much", id, model.usedByID[id], other, used)
+				model.Fatalf("connection %d, which uses %d bytes, is selected for eviction although connection %d uses %d bytes, which is more than twice as much", id, model.usedByID[id], other, used)
 			}
 		}
 		model.remove(id)
@@ -121,12 +121,12 @@
 		sum += used
 	}
 	if sum != model.budget.Used() || sum > model.total || len(model.usedByID) != model.budget.Connections() {
-		model.Fatalf("connections use %d bytes, but the budget reports %d bytes of a total of %d bytes, or a wrong number of connections", sum, model.budget.Used(), model.total)
+		model.Fatalf("connections use %d bytes and the budget reports %d bytes, want equal numbers of at most %d bytes; if these are right, the number of connections in the budget is wrong", sum, model.budget.Used(), model.total)
 	}
 }
 
-// TestDynamicThresholdAvoidsEvictions checks that no connection has to be evicted if many connections each
-// allocate all the memory available to them, and that they use most of the total.
+// TestDynamicThresholdAvoidsEvictions simulates 4000 connections that repeatedly allocate memory while memory is
+// available to them. It checks that the connections use most of the total, and that none has to be evicted.
 func TestDynamicThresholdAvoidsEvictions(t *testing.T) {
 	const connectionCount = uint64(4000)
 	budget := New(128 << 20)
@@ -141,7 +141,7 @@
 		}
 	}
 	if _, overLimit := budget.ConnectionToEvict(); overLimit || budget.Used() < 100<<20 {
-		t.Errorf("connections use %d bytes of a total of %d bytes, want at least 100 MiB; a connection must be evicted: %v, want false", budget.Used(), budget.Total(), overLimit)
+		t.Errorf("connections use %d bytes of a total of %d bytes, want at least 100 MiB; ConnectionToEvict returned overLimit %v, want false", budget.Used(), budget.Total(), overLimit)
 	}
 }
 
@@ -151,7 +151,7 @@
 		shares := Divide(memory)
 		isPositive := shares.Connections > 0 && shares.History > 0 && shares.Objects > 0
 		if sum := shares.Connections + shares.History + shares.Objects; !isPositive || sum > memory {
-			t.Fatalf("Divide returned shares %+v, want positive shares whose sum is at most %d bytes", shares, memory)
+			t.Fatalf("Divide returned %+v, want only positive shares, whose sum is at most %d bytes", shares, memory)
 		}
 	})
 }
--- a/internal/control/retry/backoff.go
+++ b/internal/control/retry/backoff.go
@@ -2,8 +2,8 @@
 
 import "heathshed/placer"
 
-// backoffJitterRange is the width of the interval from which a delay with jitter is drawn, as a fraction of the
-// delay without jitter. The delay without jitter is the center of the interval.
+// backoffJitterRange is the difference between the longest and the shortest delay with jitter, as a fraction of the
+// delay without jitter. The delay without jitter is halfway between these two delays.
 const backoffJitterRange = 0.5
 
 // Backoff computes the delay before a failed call is repeated. The delay without jitter starts at Min and
--- a/internal/control/retry/backoff_characterization_test.go
+++ b/internal/control/retry/backoff_characterization_test.go
@@ -10,11 +10,12 @@
 	"heathshed/placer"
 )
 
-// TestCharacterizeBackoff compares the delays of a Backoff, bit for bit, with a golden file. It covers several
-// values of Backoff.Min, of Backoff.Max and of the jitter. Each series of delays contains one call of Reset.
+// TestCharacterizeBackoff compares the delays that Backoff.Next returns with a golden file. The delays must be equal
+// bit for bit. The test covers several values of Backoff.Min, of Backoff.Max and of the jitter, and calls
+// Backoff.Reset once for each combination of values.
 //
-// Regenerate the golden file with HEATHSHED_UPDATE_GOLDEN=1 only if the behaviour is meant to change; package
-// goldentest describes how.
+// Regenerate the golden file with HEATHSHED_UPDATE_GOLDEN=1 only if the behaviour of package retry is meant to
+// change; package goldentest describes how.
 func TestCharacterizeBackoff(t *testing.T) {
 	record := goldentest.NewRecorder()
 	for _, bounds := range [][2]placer.Seconds{{0, 0}, {0.05, 1}, {0.2, 1}, {1, 1}, {2, 1}, {0.1, 1000}} {
--- a/internal/control/retry/example_test.go
+++ b/internal/control/retry/example_test.go
@@ -7,8 +7,7 @@
 	"heathshed/placer"
 )
 
-// A client requests placement again, after a delay, if its request was rejected. It gives the task up if no
-// retries are left.
+// After a rejection, a client requests placement again with a delay. It gives the task up if no retries are left.
 func ExamplePolicy_Next() {
 	policy := retry.DefaultPolicy()
 	state := retry.State{Cause: retry.Rejected, Now: 100, Deadline: 130, Attempts: 1, RetriesLeft: 1, Jitter: 0.5}
--- a/internal/control/retry/policy_test.go
+++ b/internal/control/retry/policy_test.go
@@ -19,17 +19,17 @@
 		change func(state *State)
 		want   Decision
 	}{
-		{"request rejected", func(*State) {}, RetryAt},
+		{"request rejected, two retries left", func(*State) {}, RetryAt},
 		{"request rejected, no retries left", func(state *State) { state.RetriesLeft = 0 }, Reject},
 		{"request failed, no retries left", func(state *State) { state.RetriesLeft, state.Cause = 0, Failed }, Fail},
-		{"request rejected, retry would be after the deadline", func(state *State) { state.Deadline = 101 }, Reject},
+		{"request rejected, delay of a retry would end after the deadline", func(state *State) { state.Deadline = 101 }, Reject},
 		{"task not idempotent, outcome of an attempt unknown", func(state *State) {
 			state.Idempotency, state.OutcomeUnknown = placer.NonIdempotent, true
 		}, AwaitOutcome},
 		{"task not idempotent, outcome of an attempt unknown at the deadline", func(state *State) {
 			state.Idempotency, state.OutcomeUnknown, state.Now = placer.NonIdempotent, true, 200
 		}, Fail},
-		{"task not idempotent, possibly ran in an earlier attempt", func(state *State) { state.Idempotency, state.MayHaveRun = placer.NonIdempotent, true }, Fail},
+		{"task not idempotent, task possibly ran in an earlier attempt", func(state *State) { state.Idempotency, state.MayHaveRun = placer.NonIdempotent, true }, Fail},
 		{"task idempotent by key, outcome of an attempt unknown", func(state *State) {
 			state.Idempotency, state.OutcomeUnknown = placer.IdempotentByKey, true
 		}, AwaitOutcome},
@@ -46,7 +46,8 @@
 	}
 }
 
-// drawSeconds draws a random duration between the two bounds. Rapid prints the label with the drawn value.
+// drawSeconds draws a random duration between the two bounds. When a test fails, package rapid prints the label
+// together with the drawn value.
 func drawSeconds(t *rapid.T, minSeconds, maxSeconds float64, label string) placer.Seconds {
 	return placer.Seconds(rapid.Float64Range(minSeconds, maxSeconds).Draw(t, label))
 }
@@ -78,7 +79,8 @@
 
 // TestNextRespectsDelays checks for random policies and states that:
 //   - a retry after a rejection, a failure or an eviction is delayed by at least one second,
-//   - no retry is scheduled for the deadline or later, or if no retries are left,
+//   - each retry is scheduled for a time before the deadline,
+//   - no retry is scheduled if no retries are left,
 //   - a task that possibly ran is retried only if it is idempotent,
 //   - a task that possibly ran is never reported as rejected.
 func TestNextRespectsDelays(t *testing.T) {
@@ -91,36 +93,36 @@
 		switch decision {
 		case RetryAt:
 			if state.Idempotency != placer.Idempotent && mayHaveRun {
-				t.Fatal("a task that is not idempotent is retried although it possibly ran in an earlier attempt")
+				t.Fatal("Next returned RetryAt for a task that is not idempotent and possibly ran in an earlier attempt")
 			}
 			if state.RetriesLeft <= 0 || stepTime >= state.Deadline || stepTime < state.Now {
-				t.Fatalf("Next scheduled a retry at %v s with %d retries left and a deadline at %v s", stepTime, state.RetriesLeft, state.Deadline)
+				t.Fatalf("Next scheduled a retry at %v s with %d retries left and a deadline at %v s, want a retry only if retries are left, not earlier than State.Now, and before the deadline", stepTime, state.RetriesLeft, state.Deadline)
 			}
 			if state.Cause < Migrated && stepTime < state.Now+1 {
-				t.Fatalf("Next scheduled a retry after a delay of %v s, want at least 1 s", stepTime-state.Now)
+				t.Fatalf("Next scheduled a retry after a rejection, failure or eviction with a delay of %v s, want at least 1 s", stepTime-state.Now)
 			}
 		case Reject:
 			if mayHaveRun {
-				t.Fatal("a task is reported as rejected although it possibly ran in an earlier attempt")
+				t.Fatal("Next returned Reject for a task that possibly ran in an earlier attempt")
 			}
 		}
 	})
 }
 
 // TestMaxWaitCoversAllAttempts checks that the first request and all retries end within the time that
-// Policy.MaxWait returns, even if each of them takes as long as allowed.
+// Policy.MaxWait returns, even if each request takes as long as requestTimeout and each delay is the longest.
 func TestMaxWaitCoversAllAttempts(t *testing.T) {
 	const requestTimeout placer.Seconds = 8 // requestTimeout is the time after which each request expires.
 	policy := DefaultPolicy()
 	for maxRetries := range 40 {
-		// attemptEnd starts as the time at which the first request expires.
+		// attemptEnd is the time at which the current request expires; the first request begins at 0 s.
 		attemptEnd := requestTimeout
 		for retry := range maxRetries {
 			_, retryAt := policy.Next(State{Cause: Rejected, Now: attemptEnd, Deadline: 1e9, Attempts: retry + 1, RetriesLeft: 1, Jitter: 1})
 			attemptEnd = retryAt + requestTimeout
 		}
 		if maxWait := policy.MaxWait(requestTimeout, maxRetries); attemptEnd > maxWait+1e-6 {
-			t.Errorf("the last of %d retries ends after %v s, which is later than the result of MaxWait, %v s", maxRetries, attemptEnd, maxWait)
+			t.Errorf("the last of %d retries ends %v s after the first request began, want at most the result of MaxWait, %v s", maxRetries, attemptEnd, maxWait)
 		}
 	}
 }
