--- a/internal/control/admission/admission.go
+++ b/internal/control/admission/admission.go
@@ -222,8 +222,8 @@
 	return ReasonLate
 }
 
-// NextDeadline returns the latest time of the next call of Poll. The caller has to call Poll at that time even if
-// no request completes earlier. NextDeadline returns infinity if no request is queued.
+// NextDeadline returns the time by which the caller has to call Poll again, even if no request completes earlier.
+// It returns infinity if no request is queued.
 func (c *Controller) NextDeadline() placer.Seconds {
 	next := never
 	if c.queue.len() > 0 {
--- a/internal/control/admission/shares.go
+++ b/internal/control/admission/shares.go
@@ -11,8 +11,8 @@
 
 // fairQueue holds all queued requests and divides admissions among tenants in proportion to their shares. It
 // implements weighted fair queueing. The virtual time of a tenant is the total cost of the tenant's admitted
-// requests divided by the tenant's share. The next admitted request is one of the tenant with the lowest virtual
-// time.
+// requests divided by the tenant's share. The tenant with the lowest virtual time has its next request admitted
+// first.
 type fairQueue struct {
 	byID        map[uint64]*queuedRequest
 	expiry      expiryHeap
--- a/internal/control/admission/shedding.go
+++ b/internal/control/admission/shedding.go
@@ -26,9 +26,9 @@
 // longer delay, a client would submit its next request long after capacity is available again.
 const maxRetryAfter placer.Seconds = 15
 
-// retryAfterSteps is the number of distinct factors, all between 0.75 and 1.25, by which newShedRequest multiplies
-// ShedRequest.RetryAfter. Two requests that are shed one after the other get different factors. Otherwise, clients
-// whose requests are shed together would retry in synchronized waves.
+// retryAfterSteps is the number of distinct factors between 0.75 and 1.25 of which newShedRequest selects one for
+// each ShedRequest.RetryAfter. Two requests that are shed one after the other get different factors. Otherwise,
+// clients whose requests are shed together would retry in synchronized waves.
 const retryAfterSteps = 16
 
 // newShedRequest returns the ShedRequest for the request with the given ID. Its RetryAfter is roughly the time
--- a/internal/control/connpool/characterization_test.go
+++ b/internal/control/connpool/characterization_test.go
@@ -13,9 +13,9 @@
 	"heathshed/placer"
 )
 
-// TestCharacterization compares the decisions of Policy and MultiplexedPolicy, and the node statuses that
-// Reachability determines, with a golden file. It passes all combinations of selected values to the policies, and
-// random events to Reachability. Package goldentest describes how the golden file is regenerated.
+// TestCharacterization checks the decisions of Policy and MultiplexedPolicy, and the node statuses that Reachability
+// determines. It compares them with a golden file. The policies receive all combinations of selected values, and
+// Reachability receives random events. Package goldentest describes how the golden file is regenerated.
 func TestCharacterization(t *testing.T) {
 	record := goldentest.NewRecorder()
 	record.Line("%s", describeDefaults())
--- a/internal/control/connpool/connpool.go
+++ b/internal/control/connpool/connpool.go
@@ -12,10 +12,10 @@
 // Policy selects among connections that carry one request at a time.
 //
 // The peer can close an idle connection at the moment at which the client sends a request on it. The client
-// then does not know whether the peer received the request. It sends an idempotent request again, but for any
-// other request it first has to determine the outcome, which takes seconds. A request that is not idempotent is
-// therefore sent only on a connection that was in use very recently, which the peer is unlikely to close, or on
-// a new connection.
+// then does not know whether the peer received the request. The client simply sends an idempotent request again.
+// For any other request, the client first has to determine the outcome, which takes seconds. A request that is not
+// idempotent is therefore sent only on a new connection, or on a connection that was in use so recently that the
+// peer is unlikely to close it.
 type Policy struct {
 	MaxConns             int           // MaxConns is the largest number of open connections; a value below 1 counts as 1.
 	MaxIdle              time.Duration // MaxIdle is the longest idle time after which a connection is used again; after a longer time, it is closed.
--- a/internal/control/eventqueue/characterization_test.go
+++ b/internal/control/eventqueue/characterization_test.go
@@ -12,9 +12,9 @@
 	"heathshed/placer"
 )
 
-// TestCharacterization compares with a golden file in which order a queue passes events to the placer and executes
-// actions. The function Queue.Execute posts further events and calls Queue.Run for some actions. The test also
-// compares the results of TimerDelay. Package goldentest describes how the golden file is regenerated.
+// TestCharacterization checks the order in which a queue passes events to the placer and executes actions, and the
+// results of TimerDelay. It compares both with a golden file. For some actions, Queue.Execute posts further events
+// and calls Queue.Run. Package goldentest describes how the golden file is regenerated.
 func TestCharacterization(t *testing.T) {
 	record := goldentest.NewRecorder()
 	for seed := uint64(1); seed <= 10; seed++ {
--- a/internal/control/retry/example_test.go
+++ b/internal/control/retry/example_test.go
@@ -7,7 +7,8 @@
 	"heathshed/placer"
 )
 
-// After a rejection, a client requests placement again with a delay. It gives the task up if no retries are left.
+// After a rejection, a client waits for a delay and then requests placement again. It gives the task up if no
+// retries are left.
 func ExamplePolicy_Next() {
 	policy := retry.DefaultPolicy()
 	state := retry.State{Cause: retry.Rejected, Now: 100, Deadline: 130, Attempts: 1, RetriesLeft: 1, Jitter: 0.5}
--- a/internal/control/retry/policy.go
+++ b/internal/control/retry/policy.go
@@ -89,8 +89,8 @@
 // retryMayStartTaskTwice reports whether a retry could start the task a second time.
 func (s *State) retryMayStartTaskTwice() bool { return s.MayHaveRun || s.OutcomeUnknown }
 
-// awaitOutcomeOrFail returns AwaitOutcome if the client can still learn the unknown outcome of an attempt
-// before its deadline, and Fail otherwise.
+// awaitOutcomeOrFail returns AwaitOutcome if the client can still learn the unknown outcome of an attempt before
+// State.Deadline, and Fail otherwise.
 func (s *State) awaitOutcomeOrFail() (Decision, placer.Seconds) {
 	if !s.MayHaveRun && s.Now < s.Deadline {
 		return AwaitOutcome, s.Deadline
@@ -134,9 +134,9 @@
 	return delay
 }
 
-// MaxWait returns the longest time from the first request of a client to the final answer. It assumes that the
-// client makes at most maxRetries retries, and that the scheduler answers the first request and each retry within
-// requestTimeout.
+// MaxWait returns the longest time between the first request of a client for a task and the final answer. It
+// assumes that the client makes at most maxRetries retries, and that the scheduler answers the first request and
+// each retry within requestTimeout.
 func (p *Policy) MaxWait(requestTimeout placer.Seconds, maxRetries int) placer.Seconds {
 	total := requestTimeout
 	for i := range maxRetries {
--- a/internal/control/retry/policy_test.go
+++ b/internal/control/retry/policy_test.go
@@ -30,7 +30,7 @@
 			state.Idempotency, state.OutcomeUnknown, state.Now = placer.NonIdempotent, true, 200
 		}, Fail},
 		{"task not idempotent, task possibly ran in an earlier attempt", func(state *State) { state.Idempotency, state.MayHaveRun = placer.NonIdempotent, true }, Fail},
-		{"task idempotent by key, outcome of an attempt unknown", func(state *State) {
+		{"task idempotent by idempotency key, outcome of an attempt unknown", func(state *State) {
 			state.Idempotency, state.OutcomeUnknown = placer.IdempotentByKey, true
 		}, AwaitOutcome},
 		{"task idempotent, outcome of an attempt unknown", func(state *State) { state.OutcomeUnknown = true }, RetryAt},
@@ -65,8 +65,8 @@
 func drawState(t *rapid.T) State {
 	const now placer.Seconds = 100
 	return State{
-		Idempotency:    placer.Idempotency(rapid.IntRange(0, 2).Draw(t, "idempotency")),
-		Cause:          Cause(rapid.IntRange(0, 4).Draw(t, "cause")),
+		Idempotency:    placer.Idempotency(rapid.IntRange(0, 2).Draw(t, "placer.Idempotency as a number")),
+		Cause:          Cause(rapid.IntRange(0, 4).Draw(t, "Cause as a number")),
 		Now:            now,
 		Deadline:       now + drawSeconds(t, -1, 50, "seconds until the deadline"),
 		Attempts:       rapid.IntRange(1, 30).Draw(t, "number of attempts"),
@@ -82,7 +82,7 @@
 //   - each retry is scheduled for a time before the deadline,
 //   - no retry is scheduled if no retries are left,
 //   - a task that possibly ran is retried only if it is idempotent,
-//   - a task that possibly ran is never reported as rejected.
+//   - Next never returns Reject for a task that possibly ran.
 func TestNextRespectsDelays(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		policy, state := drawPolicy(t), drawState(t)
