--- a/internal/control/admission/limit.go
+++ b/internal/control/admission/limit.go
@@ -54,9 +54,9 @@
 	lastLateAt     placer.Seconds // lastLateAt is when a late request last completed.
 	slowStart      bool           // slowStart means that the concurrency limit grows by one for each fast request.
 
-	inFlight         map[uint64]*inFlightRequest
-	inAdmissionOrder []*inFlightRequest // inAdmissionOrder contains the oldest request first; a completed request stays until it reaches the front.
-	occupiedSlots    int                // occupiedSlots is the number of requests that count against the concurrency limit.
+	inFlight       map[uint64]*inFlightRequest
+	admissionOrder []*inFlightRequest // admissionOrder contains the oldest request first; a completed request stays until it reaches the front.
+	occupiedSlots  int                // occupiedSlots is the number of requests that count against the concurrency limit.
 }
 
 func newLimiter(cfg *Config) limiter {
@@ -71,33 +71,33 @@
 // hasCapacity reports whether one more request may be in flight. It first calls releaseSlot for each request that
 // has been in flight for as long as its latency objective.
 func (l *limiter) hasCapacity(now placer.Seconds) bool {
-	for len(l.inAdmissionOrder) > 0 {
-		oldest := l.inAdmissionOrder[0]
+	for len(l.admissionOrder) > 0 {
+		oldest := l.admissionOrder[0]
 		if oldest.occupiesSlot && now-oldest.admittedAt < oldest.effectiveObjective() {
 			break
 		}
 		l.releaseSlot(oldest)
-		l.inAdmissionOrder[0] = nil
-		l.inAdmissionOrder = l.inAdmissionOrder[1:]
+		l.admissionOrder[0] = nil
+		l.admissionOrder = l.admissionOrder[1:]
 	}
 	return float64(l.occupiedSlots) < math.Floor(l.limit)
 }
 
-// nextSlotExpiry returns the time at which the oldest request in inAdmissionOrder will have been in flight for as
+// nextSlotExpiry returns the time at which the oldest request in admissionOrder will have been in flight for as
 // long as its latency objective. From then on, the request does not count against the concurrency limit.
-// nextSlotExpiry returns infinity if inAdmissionOrder is empty.
+// nextSlotExpiry returns infinity if admissionOrder is empty.
 func (l *limiter) nextSlotExpiry() placer.Seconds {
-	if len(l.inAdmissionOrder) == 0 {
+	if len(l.admissionOrder) == 0 {
 		return never
 	}
-	return l.inAdmissionOrder[0].admittedAt + l.inAdmissionOrder[0].effectiveObjective()
+	return l.admissionOrder[0].admittedAt + l.admissionOrder[0].effectiveObjective()
 }
 
 // add adds an admitted request to the requests in flight and counts it against the concurrency limit.
 func (l *limiter) add(id uint64, request *inFlightRequest) {
 	request.occupiesSlot = true
 	l.inFlight[id] = request
-	l.inAdmissionOrder = append(l.inAdmissionOrder, request)
+	l.admissionOrder = append(l.admissionOrder, request)
 	l.occupiedSlots++
 }
 
--- a/internal/control/admission/retry_budget_test.go
+++ b/internal/control/admission/retry_budget_test.go
@@ -112,12 +112,12 @@
 	controller := newController(t)
 	backlog := &retryBacklog{controller: controller, unsubmitted: 20000, isPlaced: func(now placer.Seconds) bool { return now > start+faultDuration }}
 
-	placed := backlog.run(start, faultDuration+30)
+	placedCount := backlog.run(start, faultDuration+30)
 
-	if placed < 19000 {
-		t.Errorf("%d of 20000 tasks were placed within 30 s after a fault of 30 s during which no node accepted a task, want at least 19000", placed)
+	if placedCount < 19000 {
+		t.Errorf("%d of 20000 tasks were placed within 30 s after a fault of 30 s during which no node accepted a task, want at least 19000", placedCount)
 	}
-	if got, full := controller.RetryBudget(), controller.cfg.RetryBurst; got < full-1 {
+	if got, maxTokens := controller.RetryBudget(), controller.cfg.RetryBurst; got < maxTokens-1 {
 		t.Errorf("retry budget holds %v tokens at the end, want at least Config.RetryBurst minus one token", got)
 	}
 }
--- a/internal/control/connpool/characterization_test.go
+++ b/internal/control/connpool/characterization_test.go
@@ -20,9 +20,9 @@
 	record := goldentest.NewRecorder()
 	record.Line("%s", describeDefaults())
 	shortPolicy := connpool.MultiplexedPolicy{MaxIdle: 2 * time.Second, HealthCheckAfter: 500 * time.Millisecond, HealthCheckTimeout: 250 * time.Millisecond}
-	grids := []string{describeChoices(), describeKeepAliveActions(connpool.DefaultMultiplexedPolicy()), describeKeepAliveActions(shortPolicy), describeUsability()}
-	for i, grid := range grids {
-		record.Line("grid %d %d %s", i, len(grid), goldentest.Digest(grid))
+	descriptions := []string{describeChoices(), describeKeepAliveActions(connpool.DefaultMultiplexedPolicy()), describeKeepAliveActions(shortPolicy), describeUsability()}
+	for i, description := range descriptions {
+		record.Line("grid %d %d %s", i, len(description), goldentest.Digest(description))
 	}
 	for seed := uint64(1); seed <= 10; seed++ {
 		record.Line("reach %d %s", seed, digestNodeStatuses(seed))
@@ -52,10 +52,10 @@
 	}
 	for _, policy := range []connpool.Policy{connpool.DefaultPolicy(), {MaxConns: 2, MaxIdle: second, MaxIdleNonIdempotent: second / 2}, {}} {
 		for _, idleList := range idleLists {
-			for extraOpen := range 5 {
+			for extraConns := range 5 {
 				for _, nonIdempotent := range []bool{false, true} {
-					fewOpenDecision := policy.Choose(idleList, extraOpen+len(idleList)-1, nonIdempotent)
-					manyOpenDecision := policy.Choose(idleList, 30+extraOpen, nonIdempotent)
+					fewOpenDecision := policy.Choose(idleList, extraConns+len(idleList)-1, nonIdempotent)
+					manyOpenDecision := policy.Choose(idleList, 30+extraConns, nonIdempotent)
 					fmt.Fprintln(&decisions, uint8(fewOpenDecision.Action), fewOpenDecision.Index, fewOpenDecision.Stale, uint8(manyOpenDecision.Action), manyOpenDecision.Index, manyOpenDecision.Stale)
 				}
 			}
--- a/internal/control/memquota/memquota_test.go
+++ b/internal/control/memquota/memquota_test.go
@@ -85,9 +85,9 @@
 	if used == 0 && available < min(MinAllowance, model.total) {
 		model.Fatalf("only %d bytes are available to a connection that uses no memory, want at least the smaller of MinAllowance and the total", available)
 	}
-	before := model.budget.Used()
+	usedBefore := model.budget.Used()
 	model.setUsed(id, used+available)
-	if used > 0 && before <= model.total && model.budget.Used() > model.total {
+	if used > 0 && usedBefore <= model.total && model.budget.Used() > model.total {
 		model.Fatalf("after a connection has allocated the memory available to it, all connections use %d bytes, which exceeds the total of %d bytes", model.budget.Used(), model.total)
 	}
 }
@@ -106,9 +106,9 @@
 // more than twice as much memory as a selected connection.
 func (model *budgetModel) evict() {
 	for id, overLimit := model.budget.ConnectionToEvict(); overLimit; id, overLimit = model.budget.ConnectionToEvict() {
-		for other, used := range model.usedByID {
+		for otherID, used := range model.usedByID {
 			if used > 2*model.usedByID[id]+1 {
-				model.Fatalf("connection %d, which uses %d bytes, is selected for eviction although connection %d uses %d bytes, which is more than twice as much", id, model.usedByID[id], other, used)
+				model.Fatalf("connection %d, which uses %d bytes, is selected for eviction although connection %d uses %d bytes, which is more than twice as much", id, model.usedByID[id], otherID, used)
 			}
 		}
 		model.remove(id)
--- a/internal/control/retry/example_test.go
+++ b/internal/control/retry/example_test.go
@@ -27,7 +27,7 @@
 // unknown, because the task could then run twice.
 func ExamplePolicy_Next_unknownOutcome() {
 	policy := retry.DefaultPolicy()
-	decision, until := policy.Next(retry.State{
+	decision, stepTime := policy.Next(retry.State{
 		Idempotency:    placer.NonIdempotent,
 		Cause:          retry.Failed,
 		Now:            100,
@@ -36,7 +36,7 @@
 		RetriesLeft:    3,
 		OutcomeUnknown: true,
 	})
-	fmt.Println(decision == retry.AwaitOutcome, until)
+	fmt.Println(decision == retry.AwaitOutcome, stepTime)
 	// Output: true 130
 }
 
--- a/internal/control/retry/policy_test.go
+++ b/internal/control/retry/policy_test.go
@@ -117,8 +117,8 @@
 	for maxRetries := range 40 {
 		// attemptEnd is the time at which the current request expires; the first request begins at 0 s.
 		attemptEnd := requestTimeout
-		for retry := range maxRetries {
-			_, retryAt := policy.Next(State{Cause: Rejected, Now: attemptEnd, Deadline: 1e9, Attempts: retry + 1, RetriesLeft: 1, Jitter: 1})
+		for retryIndex := range maxRetries {
+			_, retryAt := policy.Next(State{Cause: Rejected, Now: attemptEnd, Deadline: 1e9, Attempts: retryIndex + 1, RetriesLeft: 1, Jitter: 1})
 			attemptEnd = retryAt + requestTimeout
 		}
 		if maxWait := policy.MaxWait(requestTimeout, maxRetries); attemptEnd > maxWait+1e-6 {
