--- a/internal/control/connpool/characterization_test.go
+++ b/internal/control/connpool/characterization_test.go
@@ -13,16 +13,16 @@
 	"heathshed/placer"
 )
 
-// TestCharacterization compares the decisions of both policies, and the node statuses of Reachability, with a
-// golden file. The inputs of the policies are all combinations of selected values, and each decision is
-// recorded as a number. Package goldentest describes how the golden file is regenerated.
+// TestCharacterization checks the decisions of Policy and MultiplexedPolicy, and the node statuses that Reachability
+// determines. It compares them with a golden file. The policies receive all combinations of selected values, and
+// Reachability receives random events. Package goldentest describes how the golden file is regenerated.
 func TestCharacterization(t *testing.T) {
 	record := goldentest.NewRecorder()
 	record.Line("%s", describeDefaults())
 	shortPolicy := connpool.MultiplexedPolicy{MaxIdle: 2 * time.Second, HealthCheckAfter: 500 * time.Millisecond, HealthCheckTimeout: 250 * time.Millisecond}
-	grids := []string{describeChoices(), describeKeepAliveActions(connpool.DefaultMultiplexedPolicy()), describeKeepAliveActions(shortPolicy), describeUsability()}
-	for i, grid := range grids {
-		record.Line("grid %d %d %s", i, len(grid), goldentest.Digest(grid))
+	descriptions := []string{describeChoices(), describeKeepAliveActions(connpool.DefaultMultiplexedPolicy()), describeKeepAliveActions(shortPolicy), describeUsability()}
+	for i, description := range descriptions {
+		record.Line("grid %d %d %s", i, len(description), goldentest.Digest(description))
 	}
 	for seed := uint64(1); seed <= 10; seed++ {
 		record.Line("reach %d %s", seed, digestNodeStatuses(seed))
@@ -52,10 +52,10 @@
 	}
 	for _, policy := range []connpool.Policy{connpool.DefaultPolicy(), {MaxConns: 2, MaxIdle: second, MaxIdleNonIdempotent: second / 2}, {}} {
 		for _, idleList := range idleLists {
-			for extraOpen := range 5 {
+			for extraConns := range 5 {
 				for _, nonIdempotent := range []bool{false, true} {
-					fewOpenDecision := policy.Choose(idleList, extraOpen+len(idleList)-1, nonIdempotent)
-					manyOpenDecision := policy.Choose(idleList, 30+extraOpen, nonIdempotent)
+					fewOpenDecision := policy.Choose(idleList, extraConns+len(idleList)-1, nonIdempotent)
+					manyOpenDecision := policy.Choose(idleList, 30+extraConns, nonIdempotent)
 					fmt.Fprintln(&decisions, uint8(fewOpenDecision.Action), fewOpenDecision.Index, fewOpenDecision.Stale, uint8(manyOpenDecision.Action), manyOpenDecision.Index, manyOpenDecision.Stale)
 				}
 			}
@@ -107,24 +107,24 @@
 	return results.String()
 }
 
-// digestNodeStatuses passes random messages and failed dials to a Reachability. It returns a digest of the node
-// statuses at several times after each of them.
+// digestNodeStatuses records random messages and failed dials in a Reachability. After each step, it determines the
+// node status for several later times. It returns a digest of all these node statuses.
 func digestNodeStatuses(seed uint64) string {
 	rng := rand.New(rand.NewPCG(seed, 5))
 	var statuses strings.Builder
 	var now clock.Instant
-	node := connpool.Reachability{UnresponsiveAfter: 6 * time.Second, ProcessEndedAfter: time.Second}
+	reachability := connpool.Reachability{UnresponsiveAfter: 6 * time.Second, ProcessEndedAfter: time.Second}
 	for range 200 {
 		now = now.Add([]time.Duration{0, 500 * time.Millisecond, time.Second, 1500 * time.Millisecond, 3 * time.Second}[rng.IntN(5)])
 		switch rng.IntN(8) {
 		case 0:
-			node.Received(now)
+			reachability.Received(now)
 		case 1, 2:
-			node.DialFailed(now, true)
+			reachability.DialFailed(now, true)
 		case 3, 4, 5:
-			node.DialFailed(now, rng.IntN(4) == 0)
+			reachability.DialFailed(now, rng.IntN(4) == 0)
 		}
-		statusAfter := func(d time.Duration) uint8 { return uint8(node.Status(now.Add(d))) }
+		statusAfter := func(d time.Duration) uint8 { return uint8(reachability.Status(now.Add(d))) }
 		fmt.Fprint(&statuses, statusAfter(0), statusAfter(time.Second), statusAfter(1001*time.Millisecond), statusAfter(6*time.Second), statusAfter(6500*time.Millisecond), " ")
 	}
 	return goldentest.Digest(statuses.String())
