--- a/placer/api.go
+++ b/placer/api.go
@@ -24,10 +24,10 @@
 // NodeID identifies a node. It says nothing about the node's location.
 type NodeID uint64
 
-// Task is a request to place a task.
+// Task describes the task of a placement request.
 type Task struct {
 	ID            TaskID
-	Class, Tenant int // indexes into Config.Classes and Config.Tenants
+	Class, Tenant int // indexes of the task class in Config.Classes and of the tenant in Config.Tenants
 	Service       ServiceID
 	Cores, Memory float64 // capacity that the task requests
 	Deadline      Seconds // time by which the client must get the final answer
@@ -85,7 +85,7 @@
 	Unreachable               // no connection to the node could be established
 	Lost                      // the connection to the node broke, or the node stopped the task
 	Cancelled                 // the client withdrew the task
-	Expired                   // the deadline passed before the attempt was sent
+	Expired                   // the deadline of the request passed before the attempt was sent to the node
 )
 
 // provesNotStarted reports whether the result proves that the attempt did not start the task.
@@ -93,7 +93,7 @@
 	return r == Rejected || r == Unreachable || r == Expired
 }
 
-// Reason is the reason that a node gives for a result.
+// Reason is the reason that a node gives for the result of an attempt.
 type Reason uint8
 
 // The reasons that a node can give for the result of an attempt.
@@ -108,7 +108,7 @@
 	Drained   // the node stopped the task because the node is draining
 )
 
-// UsageKind selects the quantity that a usage report on a running task contains.
+// UsageKind selects the quantity that was measured for a usage report on a running task.
 type UsageKind uint8
 
 // The kinds of usage report.
@@ -129,8 +129,8 @@
 	NodesListed EventKind = iota + 1
 	// Arrived means that a placement request arrived. It uses the field Task.
 	Arrived
-	// Adopted means that a task was found running on a node. The running task becomes attempt 0 of its
-	// request. The event uses the fields Task and Node.
+	// Adopted means that the scheduler found a task that already runs on a node. The running task becomes
+	// attempt 0 of its request. The event uses the fields Task and Node.
 	Adopted
 	// Bound means that a node accepted an attempt. It uses the fields TaskID, Attempt, Node and Elapsed.
 	Bound
@@ -152,7 +152,7 @@
 	TaskID  TaskID
 	Task    Task
 	Node    NodeID
-	Attempt int // index of the attempt among those for its request; a task found running has attempt 0
+	Attempt int // index of the attempt among the attempts for its request; an adopted task has attempt 0
 	Result  Result
 	Reason  Reason
 	Elapsed Seconds // time between the sending of the attempt and the event
@@ -174,7 +174,7 @@
 	StartAttempt ActionKind = iota + 1
 	// Reject tells the client that the task was not placed. It uses the fields Task and After.
 	Reject
-	// Fail tells the client that the outcome is unknown. It uses the field Task.
+	// Fail tells the client that the outcome of its request is unknown. It uses the field Task.
 	Fail
 	// SetTimer starts a timer. When the timer fires, the scheduler passes a TimerFired event with the same
 	// token to Handle. The action uses the fields Token and After.
--- a/placer/capacity.go
+++ b/placer/capacity.go
@@ -7,17 +7,19 @@
 	// reportMaxAge is an age in seconds. The free capacity in a node's load report is ignored if the report
 	// is at least this old.
 	reportMaxAge = 2.0 * contenderWindow
-	// minRequestedFraction is the fraction of a node's cores and memory that tasks must request before the
-	// ratios of used to requested capacity are learned from the node's reports.
+	// minRequestedFraction is the minimum fraction of a node's cores and of its memory that tasks must
+	// request. Below it, the node's load reports do not update the learned ratios of used to requested
+	// capacity.
 	minRequestedFraction = 0.2
-	// usageLearningRate is the weight of a new sample in the running averages of the ratios of used to
-	// requested capacity.
+	// usageLearningRate is the weight of a new measurement in the running averages of the ratios of used
+	// to requested capacity.
 	usageLearningRate = learningRate / 2
 	// maxMemoryUtilization is the fraction of a node's memory that may be in use. Nodes slow down beyond this
 	// fraction, and evict tasks when all memory is in use.
 	maxMemoryUtilization = 0.92
-	// degradationTolerance is the fraction of a task class's DegradationRange by which the utilization may
-	// exceed SaturationThreshold before the cores of a node count as saturated.
+	// degradationTolerance is a fraction of the DegradationRange of a task class. The cores of a node
+	// count as saturated if their utilization exceeds SaturationThreshold by more than this fraction of
+	// the range.
 	degradationTolerance = 0.25
 )
 
@@ -44,7 +46,7 @@
 // freeCapacity is the capacity of a node that no task has requested.
 type freeCapacity struct {
 	cores, memory float64
-	known         bool // if false, the free capacity is unknown, and the amounts are half of the node's size
+	known         bool // if false, cores and memory are set to half of the node's total capacity
 }
 
 // estimateFree returns the estimated free capacity of a node. It starts from the node list or from the load
@@ -94,8 +96,9 @@
 		cores = node.cores - load.report.FreeCores + recentCores
 	}
 	if m.behavior.ReportsUsage && !math.IsNaN(load.report.FreeMemory) {
-		// Recently started tasks do not use all their memory yet, so the report may show too little. The
-		// model uses the reported memory only if it exceeds the memory that the tasks are expected to use.
+		// Recently started tasks do not use all their memory yet, so the node may report less memory in
+		// use than its tasks will need. The model uses the reported memory only if it exceeds the memory
+		// that the tasks are expected to use.
 		memory = max(memory, node.memory-load.report.FreeMemory+recentMemory)
 	}
 	return cores, memory
@@ -108,8 +111,8 @@
 }
 
 // projectLoad returns the expected load of a node with one more task of the given task class. If the free
-// capacity of the node is unknown or insufficient, the saturation excess is not computed. The result then
-// contains the latest saturation excess that was recorded for the node.
+// capacity of the node is unknown or insufficient, it does not compute the saturation excess. The result
+// then contains the saturation excess that was last recorded for the node.
 func (m *capacityModel) projectLoad(now Seconds, class *Class, task *Task, node *trackedNode) projection {
 	lastExcess := node.load.saturationExcess
 	free := m.estimateFree(now, node)
--- a/placer/config.go
+++ b/placer/config.go
@@ -39,14 +39,14 @@
 	LatencyObjective    Seconds        // time after arrival within which the task of a request should start
 	Deadline            Seconds        // time for which a client waits for the final answer
 	Weight              float64        // value of one second in which the task runs at full speed
-	LateWeight          float64        // value of a start after LatencyObjective relative to an earlier start
+	LateWeight          float64        // value of a start after LatencyObjective, as a fraction of the value of an earlier start
 	StartBonus          Seconds        // time at full speed that is worth as much as a start within LatencyObjective
 	Priority            int            // nodes may preempt a task in favor of a task of higher priority
-	NodeType            int            // index of the required node type in Config.NodeTypes, or -1 for any
+	NodeType            int            // index of the required type in Config.NodeTypes, or -1 for any type of node
 	SpreadDomain        TopologyDomain // domain to which MaxPerDomain applies, or NoDomain for no limit
 	MaxPerDomain        int            // maximum number of tasks of one service in one SpreadDomain
-	SaturationThreshold float64        // utilization of the cores up to which tasks run at full speed
-	DegradationRange    float64        // excess over SaturationThreshold at which the speed of tasks drops to 0
+	SaturationThreshold float64        // highest utilization of a node's cores at which tasks run at full speed
+	DegradationRange    float64        // excess of the utilization over SaturationThreshold at which the speed of tasks is 0
 }
 
 // NodeType is the capacity of the nodes of one type.
@@ -103,11 +103,11 @@
 // SlowStart limits the attempts on a node in slow start, that is, on a node that started less than Duration
 // ago. Such a node cannot yet start tasks at its full rate.
 type SlowStart struct {
-	MinPace          float64 // initial rate of task starts on a node, as a fraction of its full rate
-	Duration         Seconds // time after its start at which a node reaches its full rate
-	OverloadMultiple float64 // rate that overloads a node in slow start, as a multiple of its current rate
-	OverloadWindow   Seconds // time for which attempts must arrive at the overload rate to overload a node
-	MaxAttempts      float64 // number of attempts by all schedulers that a node can handle in OverloadWindow
+	MinPace          float64 // rate at which a new node can start tasks, as a fraction of its full rate
+	Duration         Seconds // time from the start of a node until it can start tasks at its full rate
+	OverloadMultiple float64 // rate of attempts that overloads a node, as a multiple of its rate of task starts
+	OverloadWindow   Seconds // length of the time window in which the rate of attempts is measured
+	MaxAttempts      float64 // number of attempts by all schedulers together that a node can handle in OverloadWindow
 }
 
 // Attempts limits the attempts for one request.
@@ -134,7 +134,7 @@
 
 // Costs holds costs as fractions of the total value of all tasks.
 type Costs struct {
-	Node      float64 // cost of the nodes in use that exceed the number needed
+	Node      float64 // cost of the nodes in use beyond the number that the tasks need
 	CrossZone float64 // cost of running tasks outside the zone of the scheduler
 	Migration float64 // cost of migrating every task once
 }
--- a/placer/discovery.go
+++ b/placer/discovery.go
@@ -7,15 +7,15 @@
 	// nodeRetention is the time for which the record of a terminated node is kept after the last task of this
 	// scheduler on the node has ended.
 	nodeRetention Seconds = 60
-	// maxPollBackoffDoublings is the maximum number of times that the wait before the next poll is doubled
-	// after failed polls.
+	// maxPollBackoffDoublings limits the backoff after failed requests for the node list (polls). It is
+	// the maximum number of times that the wait before the next poll is doubled.
 	maxPollBackoffDoublings = 6
-	// pollRetryDivisor determines the longest wait before a poll is repeated, which is MaxPollInterval
-	// divided by this number. An unanswered poll is repeated after this wait. The backoff after failed polls
-	// grows up to this wait.
+	// pollRetryDivisor determines the longest wait before a request for the node list (a poll) is
+	// repeated. The wait is MaxPollInterval divided by this number. An unanswered poll is repeated after
+	// this wait. The backoff after failed polls grows up to this wait.
 	pollRetryDivisor = 2
-	// listTimeoutDivisor determines the longest time without a node list before the scheduler polls again,
-	// which is MaxPollInterval divided by this number.
+	// listTimeoutDivisor determines how long the scheduler waits for a new node list before it requests
+	// the list again. The wait is MaxPollInterval divided by this number.
 	listTimeoutDivisor = 3
 )
 
@@ -30,9 +30,9 @@
 
 	lastPollAt   Seconds
 	lastListAt   Seconds
-	failedPolls  int    // number of failed polls since the last node list
+	failedPolls  int    // number of polls that failed since the last node list arrived
 	listReceived bool   // a node list has arrived since the last failed poll, or since the start
-	timerToken   uint64 // token of the latest timer; timers with other tokens have no effect
+	timerToken   uint64 // token that identifies the latest timer; older timers have no effect
 }
 
 // requestNodeList polls the node list. It also starts a timer that repeats the poll if no answer arrives.
@@ -50,7 +50,8 @@
 	l.lastListAt = now
 }
 
-// handleFailedPoll schedules the next poll after a failed poll, with exponential backoff.
+// handleFailedPoll schedules the next request for the node list after a failed request, with exponential
+// backoff.
 func (l *nodeListPoller) handleFailedPoll() {
 	l.listReceived = false
 	l.failedPolls++
@@ -58,8 +59,8 @@
 	l.startTimer(min(l.maxInterval/pollRetryDivisor, l.shortestObjective*Seconds(math.Exp2(doublings))))
 }
 
-// handleTimer is called when the timer with the given token fires. It polls again if the last poll failed or
-// was not answered, or if no node list has arrived for the time that listTimeoutDivisor determines.
+// handleTimer is called when the timer with the given token fires. It polls again if the last poll failed
+// or was not answered, or if no node list has arrived for maxInterval divided by listTimeoutDivisor.
 func (l *nodeListPoller) handleTimer(now Seconds, token uint64) {
 	if token != l.timerToken {
 		return
--- a/placer/filter.go
+++ b/placer/filter.go
@@ -17,15 +17,15 @@
 // candidate is a node that passed the filter, with values that were computed for the current request.
 type candidate struct {
 	node             *trackedNode
-	saturationExcess float64 // projected utilization of the node's cores minus the limit of the task class
+	saturationExcess float64 // projected utilization of the cores minus the limit of the task class
 	affinityHash     float64 // hash of the node and the service; the selector computes it when needed
 }
 
-// belowSaturation reports whether the projected utilization of the node's cores is within the limit of the
-// task class. Beyond this limit, all tasks on the node run more slowly.
+// belowSaturation reports whether the projected utilization of the node's cores is within the limit that
+// the task class tolerates. Beyond this limit, all tasks on the node run more slowly.
 func (c *candidate) belowSaturation() bool { return c.saturationExcess <= 0 }
 
-// isActive reports whether the node is active, that is, not on standby.
+// isActive reports whether the node is active, that is, not on standby (in reserve).
 func (c *candidate) isActive() bool { return !c.node.standby.onStandby }
 
 // candidates returns the nodes on which a request may be attempted now, in the order of the node list. The
--- a/placer/latency.go
+++ b/placer/latency.go
@@ -2,7 +2,8 @@
 
 // Constants of the latency model.
 const (
-	// learningRate is the weight of a new sample in the running averages of times.
+	// learningRate is the weight of a new measurement in the running averages of answer times and
+	// cold-start times.
 	learningRate = 0.1
 	// initialDeviationDivisor is the number by which the first sample of a running average is divided. The
 	// result is the initial value of the mean absolute deviation.
@@ -11,8 +12,8 @@
 	// when the task starts. The timeout is long, because the next attempt for the request uses additional
 	// capacity: an attempt that timed out still occupies capacity on its node.
 	startTimeoutFraction = 0.7
-	// initialTimeoutDivisor determines the timeout of attempts before any attempt was answered, which is
-	// Class.Deadline divided by this number.
+	// initialTimeoutDivisor determines the timeout of attempts until the first attempt of the task class
+	// was answered. The timeout is Class.Deadline divided by this number.
 	initialTimeoutDivisor = 4
 	// timeoutDeviationFactor is the number of mean absolute deviations by which the timeout exceeds the mean
 	// answer time.
@@ -23,8 +24,8 @@
 type latencyModel struct {
 	classes             []Class
 	acknowledgesOnStart bool
-	answerTimes         []runningAverage // time from sending an attempt to its answer, by task class
-	coldStartTimes      []runningAverage // time from sending an attempt to a cold start, by task class
+	answerTimes         []runningAverage // time from the sending of an attempt to its answer, by task class
+	coldStartTimes      []runningAverage // time from the sending of an attempt to a cold start, by task class
 }
 
 func newLatencyModel(cfg *Config) *latencyModel {
--- a/placer/node.go
+++ b/placer/node.go
@@ -8,9 +8,9 @@
 	cores, memory float64 // total capacity of the node; 0 if its type is unknown
 	listed        bool    // a node list has named the node
 
-	health  nodeHealth    // owned by the outlier detector
-	standby standbyRecord // owned by the consolidator
-	load    nodeLoad      // owned by the capacity model
+	health  nodeHealth    // failures and ejection of the node; owned by the outlier detector
+	standby standbyRecord // whether the node is active or in reserve; owned by the consolidator
+	load    nodeLoad      // load of the node; owned by the capacity model
 	tasks   nodeTasks     // tasks and attempts of this scheduler on the node
 
 	slowStartAttempts []Seconds // owned by slowStart: times of this scheduler's attempts during slow start
--- a/placer/node_load.go
+++ b/placer/node_load.go
@@ -7,8 +7,8 @@
 type nodeLoad struct {
 	recentChanges       []capacityChange // changes that node lists may not show yet, in chronological order
 	retainedBoundTasks  int              // number of elements of recentChanges with isBoundTask set
-	rejectionValidUntil Seconds          // time until which the node gets no attempts after a rejection
-	saturationExcess    float64          // saturation excess from the latest projection of the node's load
+	rejectionValidUntil Seconds          // end of the time without attempts that follows a rejection by the node
+	saturationExcess    float64          // excess utilization of the cores in the latest projection of the load
 	reportedAt          Seconds
 	hasReport           bool
 	report              Report
@@ -40,7 +40,7 @@
 // recordRejection records that the node rejected an attempt for lack of capacity.
 func (l *nodeLoad) recordRejection(now Seconds) { l.rejectionValidUntil = now + redrawWait }
 
-// setSaturation records the saturation excess that the latest projection returned.
+// setSaturation records the saturation excess from the latest projection of the node's load.
 func (l *nodeLoad) setSaturation(excess float64) { l.saturationExcess = excess }
 
 // attemptSent records that an attempt was sent and may now occupy capacity on the node.
@@ -82,9 +82,9 @@
 	}
 }
 
-// dropOldChanges removes the changes that are so old that the node list is assumed to show them. Capacity
-// estimates ignore old changes in any case, but retainedBoundTasks counts a task until its change is removed
-// here.
+// dropOldChanges removes the changes that are older than contenderWindow. The node list is assumed to show
+// such changes. Capacity estimates ignore old changes in any case, but the number retainedBoundTasks
+// includes a task until its change is removed here.
 func (l *nodeLoad) dropOldChanges(now Seconds) {
 	recent := l.changesSince(now - contenderWindow)
 	if len(recent) < len(l.recentChanges) {
@@ -102,8 +102,8 @@
 	return l.recentChanges[first:]
 }
 
-// countRecentlyBoundTasks returns the number of tasks that the node accepted so recently that the node list
-// may not show them yet.
+// countRecentlyBoundTasks returns the number of tasks that the node accepted within contenderWindow. The
+// node list may not show these tasks yet.
 func (l *nodeLoad) countRecentlyBoundTasks(now Seconds) int {
 	return countBoundTasks(l.changesSince(now - contenderWindow))
 }
--- a/placer/request.go
+++ b/placer/request.go
@@ -10,7 +10,7 @@
 	alternativeNode       *trackedNode // second of the two nodes drawn for the request; nil after an attempt on it
 	pairRejections        int          // number of rejections by the two nodes drawn for the request
 	ignoresCache          bool         // the two nodes were drawn without regard to cached programs
-	redrawToken           uint64       // token of the latest timer after which two nodes are drawn again
+	redrawToken           uint64       // token of the latest redraw timer; older redraw timers have no effect
 	unknownOutcomeAttempt *attempt     // first failed attempt that may have started the task
 	done                  bool         // the request is answered, placed or withdrawn
 	migrated              bool         // a migration of the task was requested
@@ -63,8 +63,8 @@
 // recordRejection counts a rejection by one of the two nodes that were drawn for the request.
 func (r *placementRequest) recordRejection() { r.pairRejections++ }
 
-// waitForRedraw discards the current pair of nodes. It records the token of the timer after which two nodes
-// are drawn at random again.
+// waitForRedraw discards the two nodes that were drawn for the request and records the token of a redraw
+// timer. The token identifies the timer. When the timer fires, two nodes are drawn at random again.
 func (r *placementRequest) waitForRedraw(token uint64) {
 	r.alternativeNode = nil
 	r.redrawToken = token
--- a/placer/selection.go
+++ b/placer/selection.go
@@ -17,8 +17,8 @@
 	// preferredNodeCount is the number of nodes that are chosen by hash for a service whose tasks arrive at
 	// many schedulers.
 	preferredNodeCount = 2
-	// maxCachedPrograms is the number of programs that a node is assumed to keep in its cache although no
-	// task that runs them is left on the node.
+	// maxCachedPrograms is the maximum number of programs without a task on a node that the node is
+	// assumed to keep in its cache.
 	maxCachedPrograms = 8
 	// randomStream is the second half of the seed of the random number generator. The first half is the seed
 	// that the caller of New passes.
@@ -117,9 +117,10 @@
 func (s *selector) contenderLimit(candidateCount int) float64 {
 	pendingRequests := s.requests.unansweredRequests
 	for _, node := range s.nodes.allNodes {
-		// An accepted task counts until dropOldChanges removes it from the load record of its node. The
-		// filter calls dropOldChanges only for nodes that pass its other checks. On the remaining nodes, a
-		// task may count for longer than contenderWindow.
+		// The number retainedBoundTasks includes an accepted task until dropOldChanges removes the task
+		// from the load record of its node. The filter calls dropOldChanges only for nodes that pass its
+		// other checks. On the remaining nodes, a task may count as a pending request for longer than
+		// contenderWindow.
 		pendingRequests += node.load.retainedBoundTasks
 	}
 	return max(1, contenderFactor*float64(pendingRequests)/float64(candidateCount))
--- a/placer/slowstart.go
+++ b/placer/slowstart.go
@@ -39,7 +39,7 @@
 // allowsAttempt reports whether this scheduler may make one more attempt on the node within its share. A
 // scheduler does not know the attempts that it made before a restart. On nodes that were already in slow
 // start at the restart, it makes no attempts for the length of the counting window. After this time, the
-// attempts from before the restart no longer count.
+// attempts from before the restart are outside the counting window.
 func (s *slowStart) allowsAttempt(now Seconds, node *trackedNode) bool {
 	if !s.appliesTo(now, node) {
 		return true
@@ -64,12 +64,12 @@
 	return len(node.slowStartAttempts) - oldCount
 }
 
-// attemptShare returns the number of attempts that this scheduler may make on a node in slow start within the
-// overload window. The shares of all schedulers add up to MaxAttempts. The node is therefore not overloaded
-// even if most tasks arrive at one scheduler, because this scheduler cannot exceed its own share. If
+// attemptShare returns the number of attempts that this scheduler may make on a node in slow start within
+// OverloadWindow. The shares of all schedulers add up to MaxAttempts. Even if most tasks arrive at one
+// scheduler, the node is not overloaded, because this scheduler cannot exceed its own share. If
 // MaxAttempts is not divisible by the number of schedulers, some schedulers may make one more attempt than
-// others. The node ID determines which schedulers these are. Even if MaxAttempts is less than the number of
-// schedulers, each scheduler can thus use some of the nodes in slow start.
+// others. The node ID determines which schedulers these are. Each scheduler can thus use some of the nodes
+// in slow start, even if MaxAttempts is less than the number of schedulers.
 func (s *slowStart) attemptShare(node *trackedNode) float64 {
 	maxAttempts, schedulerCount := max(s.limits.MaxAttempts, 0), float64(s.peers.Total)
 	share := math.Floor(maxAttempts / schedulerCount)
