--- a/placer/capacity_test.go
+++ b/placer/capacity_test.go
@@ -27,14 +27,14 @@
 		changes  []capacityChange
 		want     freeCapacity
 	}{
-		"node list shows free capacity":                         {NodeBehavior{ListShowsCapacity: true}, nodeLoad{}, nil, freeCapacity{8, 16, true}},
-		"recent change is not in node list":                     {NodeBehavior{ListShowsCapacity: true}, nodeLoad{}, change(98), freeCapacity{6, 13, true}},
-		"old change is already in node list":                    {NodeBehavior{ListShowsCapacity: true}, nodeLoad{}, change(97.9), freeCapacity{8, 16, true}},
-		"load report shows free capacity":                       {NodeBehavior{}, report(97), nil, freeCapacity{4, 5, true}},
-		"recent change is not in load report":                   {NodeBehavior{}, report(97), change(99), freeCapacity{2, 2, true}},
-		"outdated load report is ignored":                       {NodeBehavior{}, report(96), change(99), freeCapacity{8, 16, false}},
-		"load report shows used, not requested capacity":        {NodeBehavior{ReportsUsage: true}, report(99), nil, freeCapacity{8, 16, false}},
-		"neither node list nor load report shows free capacity": {NodeBehavior{}, nodeLoad{}, nil, freeCapacity{8, 16, false}},
+		"node list shows free capacity":                             {NodeBehavior{ListShowsCapacity: true}, nodeLoad{}, nil, freeCapacity{8, 16, true}},
+		"node list does not show a recent change yet":               {NodeBehavior{ListShowsCapacity: true}, nodeLoad{}, change(98), freeCapacity{6, 13, true}},
+		"node list already shows an old change":                     {NodeBehavior{ListShowsCapacity: true}, nodeLoad{}, change(97.9), freeCapacity{8, 16, true}},
+		"load report shows free capacity":                           {NodeBehavior{}, report(97), nil, freeCapacity{4, 5, true}},
+		"load report does not show a recent change yet":             {NodeBehavior{}, report(97), change(99), freeCapacity{2, 2, true}},
+		"outdated load report is ignored":                           {NodeBehavior{}, report(96), change(99), freeCapacity{8, 16, false}},
+		"load report shows capacity in use, not requested capacity": {NodeBehavior{ReportsUsage: true}, report(99), nil, freeCapacity{8, 16, false}},
+		"neither node list nor load report shows free capacity":     {NodeBehavior{}, nodeLoad{}, nil, freeCapacity{8, 16, false}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			model := &capacityModel{behavior: test.behavior}
@@ -94,7 +94,7 @@
 		report                          Report
 		wantCoresRatio, wantMemoryRatio float64 // ratios of used to requested capacity that the model must learn
 	}{
-		"report contains only utilization":              {8, Report{math.NaN(), math.NaN(), 0.25, 0}, 0.5, 1},
+		"report contains only utilization of cores":     {8, Report{math.NaN(), math.NaN(), 0.25, 0}, 0.5, 1},
 		"report contains free cores and memory":         {8, Report{12, 28, math.NaN(), 0}, 0.5, 0.25},
 		"requested capacity is too small to learn from": {15, Report{16, 32, 0, 0}, 1, 1},
 		"report contains no values":                     {8, Report{math.NaN(), math.NaN(), math.NaN(), 0}, 1, 1},
@@ -113,7 +113,7 @@
 				t.Errorf("the learned ratio of used to requested memory is %v, want %v", got, test.wantMemoryRatio)
 			}
 			if !node.load.hasReport || node.load.reportedAt != now {
-				t.Error("the load report of the node was not recorded, or not with the time of its arrival")
+				t.Error("the load report of the node was not recorded or has a wrong time, want it recorded with the time at which it arrived")
 			}
 		})
 	}
@@ -137,7 +137,7 @@
 		t.Fatalf("after the end of the task, the last entry of the load record is %+v, want an entry with -2 cores and -3 units of memory that is not for a bound task", last)
 	}
 	if load.countRecentlyBoundTasks(103.1) != 0 || load.retainedBoundTasks != 1 {
-		t.Error("after the contender window and before dropOldChanges is called, want the task not to count as recent, but its entry to be retained")
+		t.Error("after the contender window of 2 s and before a call of dropOldChanges, the bound task still counts as recently accepted, or its entry was removed; want it not to count as recently accepted, and its entry to be retained")
 	}
 	load.dropOldChanges(103.1)
 	if load.retainedBoundTasks != 0 || len(load.recentChanges) != 1 {
--- a/placer/characterization_test.go
+++ b/placer/characterization_test.go
@@ -4,7 +4,7 @@
 // bit. They show whether a refactoring changes the behavior. Each scenario describes a seeded discrete-event
 // simulation of nodes that drives one Placer. Every checkpointEvents events, the simulation records a running
 // SHA-256 digest of all actions so far. If the behavior changes, the first checkpoint that differs from the
-// golden file shows the interval of events in which it changed.
+// golden file shows the interval of events in which the change occurred.
 //
 // The golden file contains the names of the scenarios, numbers and digests, and no Go identifiers. The test
 // fails if the golden file is missing. To accept an intended change of behavior, regenerate the golden file
@@ -49,7 +49,7 @@
 	gotLines, wantLines := strings.Split(got, "\n"), strings.Split(string(want), "\n")
 	for i := range max(len(gotLines), len(wantLines)) {
 		if i >= len(gotLines) || i >= len(wantLines) || gotLines[i] != wantLines[i] {
-			t.Fatalf("the actions differ from the golden file %s: the first difference is at line %d (the file has %d lines, and the new text has %d):\n got %q\nwant %q", name, i+1,
+			t.Fatalf("the actions differ from the golden file %s: the first difference is at line %d (the golden file has %d lines, and the new text has %d lines):\n got %q\nwant %q", name, i+1,
 				len(wantLines), len(gotLines), lineOrPlaceholder(gotLines, i), lineOrPlaceholder(wantLines, i))
 		}
 	}
@@ -72,19 +72,19 @@
 	nodeCount              int            // number of nodes at the start
 	zoneCount, rackCount   int            // number of zones and racks over which the nodes are spread
 	serviceCount           int            // number of services to which the tasks belong
-	arrivalsPerSecond      float64        // mean rate of new tasks
+	arrivalsPerSecond      float64        // mean number of tasks that arrive per second
 	lifetime               placer.Seconds // mean time for which a bound task runs
 	taskCores              float64        // mean number of cores that a task requests
 	taskMemory             float64        // mean amount of memory that a task requests
-	churnInterval          placer.Seconds // mean time between changes of nodes; 0 means no changes
+	churnInterval          placer.Seconds // mean time between two changes of nodes, such as restarts; 0 means no changes
 	listInterval           placer.Seconds // time between two node lists that the Placer receives without a request
 	listFailureProbability float64        // probability that a request for the node list fails
 	failureProbability     float64        // probability that an attempt fails before the node accepts it
 	brokenNodes            int            // number of nodes that never start a task
-	lateOutcomeProbability float64        // probability that an outcome arrives after the deadline
+	lateOutcomeProbability float64        // probability that the outcome of an attempt arrives after the deadline
 	lowLoadAfterEvents     int            // number of events after which fewer tasks arrive; 0 means never
-	withdrawalProbability  float64        // probability of an early withdrawal of a request, in addition to 0.05
-	relistDelay            placer.Seconds // time after which node lists contain a removed node again; 0 means never
+	withdrawalProbability  float64        // amount by which the probability that a request is withdrawn exceeds 0.05
+	relistDelay            placer.Seconds // time until a removed node is in the node lists again; 0 means that it stays removed
 	extraMinUsageRatio     float64        // amount by which the lowest ratio of used to requested capacity exceeds 0.5
 	nodesStartedAt         placer.Seconds // start time of the initial nodes; 0 means long ago
 }
@@ -256,6 +256,6 @@
 		}
 	}
 	if got.String() != want {
-		t.Fatalf("New accepted or rejected other configurations than expected (one digit for each configuration, 1 if New accepts it):\n got %s\nwant %s", got.String(), want)
+		t.Fatalf("New did not accept exactly the expected configurations (each digit stands for one configuration and is 1 if New accepts it):\n got %s\nwant %s", got.String(), want)
 	}
 }
--- a/placer/consolidation_test.go
+++ b/placer/consolidation_test.go
@@ -2,9 +2,9 @@
 
 import "testing"
 
-// A node stays in use until its last task has ended or was migrated. For this reason, a node on standby must
-// get no attempts, and its last task must be migrated. Without migration, the node would stay in use until
-// the longest of its tasks ends. The task must be migrated only once.
+// A node stays in use until its last task has ended or was migrated. A node on standby (in reserve) must
+// thus get no attempts, and its last task must be migrated. Without migration, the node would stay in use
+// until the longest of its tasks ends. The task must be migrated only once.
 func TestStandbyNodesGetNoAttemptsAndLastTaskIsMigrated(t *testing.T) {
 	config := testConfig()
 	config.Costs.Node, config.Costs.Migration = 0.2, 0.05
@@ -13,7 +13,7 @@
 	adoptTask(placer, 900, 1, 0)
 	for i := range 20 {
 		if attempt := requireOneAttempt(t, requestPlacement(placer, 100.1+Seconds(i)/100, newTestTask(i+1, 0))); placer.nodes.byID[attempt.Node].standby.onStandby {
-			t.Fatalf("an attempt was made on node %d, which is on standby; want attempts only on active nodes", attempt.Node)
+			t.Fatalf("an attempt was made on node %d, which is on standby (in reserve); want attempts only on active nodes", attempt.Node)
 		} else {
 			bindAttempt(placer, 100.1+Seconds(i)/100, attempt)
 		}
@@ -29,13 +29,13 @@
 		}
 	}
 	if !migrated {
-		t.Fatal("the last task on a node on standby was not migrated, want one Migrate action for it")
+		t.Fatal("the last task on a node on standby (in reserve) was not migrated, want one Migrate action for task 900")
 	}
 }
 
-// If nodes acknowledge a task only when it starts, an attempt is unanswered until then, and a busy scheduler
-// almost always has such an attempt. If an unanswered attempt prevented migrations, the last tasks on a node
-// on standby would almost never be migrated.
+// If nodes acknowledge a task only when it starts, an attempt is unanswered until then, and a busy
+// scheduler almost always has an unanswered attempt. If an unanswered attempt prevented migrations, the
+// last tasks on a node on standby (in reserve) would almost never be migrated.
 func TestMigrationFromStandbyWhileTasksStart(t *testing.T) {
 	config := testConfig()
 	config.Costs.Node, config.Costs.Migration = 0.2, 0.05
@@ -50,9 +50,9 @@
 	}
 }
 
-// A node in slow start can take only a few tasks. If its capacity counted as active capacity, the active
-// nodes would appear sufficient for all tasks. The nodes that are not in slow start would then be put on
-// standby, although only they can take many tasks.
+// A node in slow start can take only a few tasks. If its capacity were added to the capacity of the active
+// nodes, the active nodes would appear sufficient for all tasks. The nodes that are not in slow start
+// would then be put on standby (in reserve), although only they can take many tasks.
 func TestNodesInSlowStartDoNotCountAsActiveCapacity(t *testing.T) {
 	config := testConfig()
 	config.Costs.Node = 0.2
@@ -78,14 +78,14 @@
 	for name, test := range map[string]struct {
 		standby   standbyRecord
 		freeCores float64 // free cores of the node, which has 16; its free memory is twice this amount
-		ownTasks  int
+		ownTasks  int     // number of tasks of this scheduler that run on the node
 		want      bool
 	}{
-		"node on standby is nearly empty":       {standbyRecord{onStandby: true, standbySince: 98}, 12, 1, true},
-		"node on standby is not nearly empty":   {standbyRecord{onStandby: true, standbySince: 98}, 11, 1, false},
-		"node was put on standby only recently": {standbyRecord{onStandby: true, standbySince: 98.1}, 12, 1, false},
-		"node is active":                        {standbyRecord{standbySince: 98}, 12, 1, false},
-		"node has no task of this scheduler":    {standbyRecord{onStandby: true, standbySince: 98}, 12, 0, false},
+		"node on standby is nearly empty":           {standbyRecord{onStandby: true, standbySince: 98}, 12, 1, true},
+		"node on standby is not nearly empty":       {standbyRecord{onStandby: true, standbySince: 98}, 11, 1, false},
+		"node was put on standby less than 2 s ago": {standbyRecord{onStandby: true, standbySince: 98.1}, 12, 1, false},
+		"node is active":                            {standbyRecord{standbySince: 98}, 12, 1, false},
+		"node has no task of this scheduler":        {standbyRecord{onStandby: true, standbySince: 98}, 12, 0, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			consolidation := &consolidator{capacity: newCapacityModel(&Config{NodeBehavior: NodeBehavior{ListShowsCapacity: true}})}
@@ -108,15 +108,15 @@
 		demand capacityDemand
 		want   bool
 	}{
-		"demand is within all limits":        {capacityDemand{160, 120, 72, 73.6}, true},
-		"requested cores exceed the limit":   {capacityDemand{161, 120, 72, 73.6}, false},
-		"requested memory exceeds the limit": {capacityDemand{160, 121, 72, 73.6}, false},
-		"cores in use exceed the limit":      {capacityDemand{160, 120, 73, 73.6}, false},
-		"memory in use exceeds the limit":    {capacityDemand{160, 120, 72, 73.7}, false},
+		"demand is at most 80% of all limits":       {capacityDemand{160, 120, 72, 73.6}, true},
+		"requested cores exceed 80% of the limit":   {capacityDemand{161, 120, 72, 73.6}, false},
+		"requested memory exceeds 80% of the limit": {capacityDemand{160, 121, 72, 73.6}, false},
+		"cores in use exceed 80% of the limit":      {capacityDemand{160, 120, 73, 73.6}, false},
+		"memory in use exceeds 80% of the limit":    {capacityDemand{160, 120, 72, 73.7}, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			if got := consolidation.demandFits(test.demand, 100, 100, 0.8); got != test.want {
-				t.Errorf("demandFits returned %v for active nodes with 100 cores and 100 units of memory, want %v", got, test.want)
+				t.Errorf("demandFits returned %v for the fraction 0.8 and active nodes with 100 cores and 100 units of memory, want %v", got, test.want)
 			}
 		})
 	}
--- a/placer/discovery_test.go
+++ b/placer/discovery_test.go
@@ -70,7 +70,7 @@
 		t.Helper()
 		takenActions := actions.takeActions()
 		if hasPolled := len(actionsOfKind(takenActions, WatchNodes)) == 1; hasPolled != wantPoll {
-			t.Fatalf("whether the poller polled the node list since the previous check: got %v, want %v", hasPolled, wantPoll)
+			t.Fatalf("the value of hasPolled is %v, want %v; it is true if the poller polled the node list since the previous check", hasPolled, wantPoll)
 		}
 		timers := actionsOfKind(takenActions, SetTimer)
 		if len(timers) != 1 || timers[0].Token != poller.timerToken {
@@ -92,25 +92,25 @@
 	poller.recordNodeList(100)
 	poller.handleFailedPoll()
 	if after := takeTimer(t, false); after > 2.4 {
-		t.Errorf("the backoff is %v s after the first failed poll since a node list, want at most 2.4 s", after)
+		t.Errorf("a node list arrived, and the next poll failed; the backoff after this poll is %v s, want at most 2.4 s", after)
 	}
 }
 
 func TestPollIsRepeatedAfterFailureOrMissingList(t *testing.T) {
 	for name, test := range map[string]struct {
 		listArrivesAt Seconds // time at which a node list arrives; 0 if none arrives
-		pollFails     bool    // the poll fails
+		pollFails     bool    // the poll fails before the timer of the poller fires
 		timerFiresAt  Seconds // time at which the timer of the poller fires
 		wantPoll      bool    // the poller must poll the node list again when the timer fires
 	}{
-		"node list arrived recently":                      {101, false, 104.9, false},
-		"no node list arrived for a third of maxInterval": {101, false, 105.1, true},
-		"poll has been unanswered for less than 1 s":      {0, false, 100.9, false},
-		"poll has been unanswered for more than 1 s":      {0, false, 101.1, true},
-		"poll failed and was sent less than 1 s ago":      {0, true, 100.9, false},
-		"poll failed and was sent more than 1 s ago":      {0, true, 101.1, true},
-		"poll failed after a node list arrived":           {100.5, true, 101.1, true},
-		"node list arrived within 1 s of the poll":        {100.5, false, 101.1, false},
+		"node list arrived less than a third of maxInterval ago": {101, false, 104.9, false},
+		"no node list arrived for a third of maxInterval":        {101, false, 105.1, true},
+		"poll has been unanswered for less than 1 s":             {0, false, 100.9, false},
+		"poll has been unanswered for more than 1 s":             {0, false, 101.1, true},
+		"poll failed and was sent less than 1 s ago":             {0, true, 100.9, false},
+		"poll failed and was sent more than 1 s ago":             {0, true, 101.1, true},
+		"poll failed after a node list arrived":                  {100.5, true, 101.1, true},
+		"node list arrived within 1 s of the poll":               {100.5, false, 101.1, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			poller, takeTimer := newTestPoller()
@@ -173,11 +173,11 @@
 	node.tasks.cacheProgram(7)
 	table.applyList(Changes, []Node{{ID: 1, StartedAt: 50}})
 	if node.health.failures != 2 || !node.load.hasReport || !node.tasks.hasProgram(7) {
-		t.Error("the load, health or cached programs of a node were reset, although the node did not restart")
+		t.Error("the load, health or cached programs of a node were reset, although the node did not restart; want no change")
 	}
 	table.applyList(Changes, []Node{{ID: 1, StartedAt: 60}})
 	if node.health != (nodeHealth{}) || node.load.hasReport || node.load.rejectedRecently(100) ||
 		len(node.load.recentChanges) != 0 || node.tasks.hasProgram(7) {
-		t.Errorf("after the restart of a node, its records are health %+v and load %+v, want all of them reset", node.health, node.load)
+		t.Errorf("after the restart of a node, its recorded health is %+v and its recorded load is %+v; want both reset and no cached programs", node.health, node.load)
 	}
 }
--- a/placer/filter_test.go
+++ b/placer/filter_test.go
@@ -23,7 +23,7 @@
 	attempt := requireOneAttempt(t, requestPlacement(placer, 100.1, newTaskOfService(5, 1, 1)))
 	requireNoAttempt(t, requestPlacement(placer, 100.2, newTaskOfService(5, 2, 1)), "the only node already has a running task and an attempt of the service")
 	placer.Handle(100.3, Event{Kind: Withdrawn, TaskID: attempt.Task}, nil) // the attempt for the withdrawn request stays outstanding
-	requireNoAttempt(t, requestPlacement(placer, 100.4, newTaskOfService(5, 3, 1)), "the attempt for the withdrawn request has no outcome yet and counts as a task")
+	requireNoAttempt(t, requestPlacement(placer, 100.4, newTaskOfService(5, 3, 1)), "the attempt for the withdrawn request has no outcome yet and counts as a task of the service")
 	endAttempt(placer, 100.5, attempt, Cancelled, NoReason)
 	requireOneAttempt(t, requestPlacement(placer, 100.6, newTaskOfService(5, 4, 1)))
 }
--- a/placer/outlier_test.go
+++ b/placer/outlier_test.go
@@ -11,7 +11,7 @@
 		placer.outliers.recordFailure(100, placer.nodes.byID[2])
 	}
 	if placer.nodes.byID[2].health.failures != 1 {
-		t.Fatalf("20 failures at the same time count as %d failures, want 1", placer.nodes.byID[2].health.failures)
+		t.Fatalf("20 simultaneous failures of a node were counted as %d failures, want 1", placer.nodes.byID[2].health.failures)
 	}
 	requireNodeAvoided(t, placer, 100.1, 2, "has just failed")
 	for id := NodeID(1); id <= 4; id++ { // ejected nodes must be used if all nodes are ejected
@@ -76,7 +76,7 @@
 	for id := NodeID(4); id <= 6; id++ {
 		placer.outliers.recordFailure(100, placer.nodes.byID[id])
 	}
-	requireNoAttempt(t, requestPlacement(placer, 100.1, newTaskOfService(5, 1, 2)), "all nodes that the spread rule allows are ejected")
+	requireNoAttempt(t, requestPlacement(placer, 100.1, newTaskOfService(5, 1, 2)), "all nodes that the spread rule allows for the service are ejected")
 }
 
 // newTestDetector returns an outlier detector with a latency objective of 1 s.
@@ -89,7 +89,7 @@
 	now, mean := Seconds(100), Seconds(1)
 	for failure := 1; failure <= maxFailures+2; failure++ {
 		if !detector.recordFailure(now, node) {
-			t.Fatalf("failure %d of the node was not counted, want each failure to count", failure)
+			t.Fatalf("failure %d of the node was not counted, want each failure to be counted", failure)
 		}
 		if ejected := node.health.ejectedUntil - now; ejected < 0.8*mean || ejected > 1.2*mean {
 			t.Errorf("failure %d of the node ejects it for %v s, want about %v s", failure, ejected, mean)
@@ -143,7 +143,7 @@
 
 func TestEjectedNodesAreUsedIfTooFewAreHealthy(t *testing.T) {
 	for name, test := range map[string]struct {
-		healthyNodes, ejectedNodes, drainingNodes int // numbers of nodes in each condition
+		healthyNodes, ejectedNodes, drainingNodes int // numbers of nodes; the healthy and ejected nodes are ready
 		want                                      bool
 	}{
 		"all ready nodes are healthy":                         {4, 0, 0, false},
--- a/placer/placer_test.go
+++ b/placer/placer_test.go
@@ -8,14 +8,14 @@
 
 func TestNewRejectsInvalidConfig(t *testing.T) {
 	for want, invalidate := range map[string]func(*Config){
-		"classes":           func(config *Config) { config.Classes = nil },
-		"node types":        func(config *Config) { config.NodeTypes = nil },
-		"peers":             func(config *Config) { config.Peers.Total = 0 },
-		"latency objective": func(config *Config) { config.Classes[0].LatencyObjective = Seconds(math.NaN()) },
-		"cores":             func(config *Config) { config.NodeTypes[0].Cores = 0 },
-		"self":              func(config *Config) { config.Peers.Self = config.Peers.Total },
-		"node cost":         func(config *Config) { config.Costs.Node = -1 },
-		"overload window":   func(config *Config) { config.SlowStart.OverloadWindow = Seconds(math.NaN()) },
+		"the configuration has no task classes": func(config *Config) { config.Classes = nil },
+		"the configuration has no node types":   func(config *Config) { config.NodeTypes = nil },
+		"number of peers 0":                     func(config *Config) { config.Peers.Total = 0 },
+		"task class 0: latency objective NaN":   func(config *Config) { config.Classes[0].LatencyObjective = Seconds(math.NaN()) },
+		"node type 0: cores 0":                  func(config *Config) { config.NodeTypes[0].Cores = 0 },
+		"index of this scheduler (self) 2":      func(config *Config) { config.Peers.Self = config.Peers.Total },
+		"node cost -1":                          func(config *Config) { config.Costs.Node = -1 },
+		"overload window NaN":                   func(config *Config) { config.SlowStart.OverloadWindow = Seconds(math.NaN()) },
 	} {
 		t.Run(want, func(t *testing.T) {
 			config := testConfig()
--- a/placer/policy_test.go
+++ b/placer/policy_test.go
@@ -11,12 +11,13 @@
 	"testing"
 )
 
-// maxPolicyLineWidth is the maximum number of characters in a line of a policy file. A tab counts as four.
-// The policy files contain all decisions and tunable constants of the package, and deploy/balancer.toml lists
-// them.
+// maxPolicyLineWidth is the maximum number of characters in a line of a policy file. A tab counts as four
+// characters. The policy files contain all decisions and tunable constants of the package. The file
+// deploy/balancer.toml lists them under the key policy.
 const maxPolicyLineWidth = 110
 
-// policyFiles returns the paths of the policy files, which deploy/balancer.toml lists in its policy line.
+// policyFiles returns the paths of the policy files, which deploy/balancer.toml lists under the key
+// policy.
 func policyFiles(t *testing.T) []string {
 	t.Helper()
 	text, err := os.ReadFile("../deploy/balancer.toml")
@@ -25,7 +26,7 @@
 	}
 	line := regexp.MustCompile(`(?m)^policy = \[(.*)\]$`).FindSubmatch(text)
 	if line == nil {
-		t.Fatal("deploy/balancer.toml has no policy line")
+		t.Fatal("deploy/balancer.toml has no line with the key policy, want a line that lists the policy files")
 	}
 	var files []string
 	for _, name := range strings.Split(string(line[1]), ",") {
@@ -48,14 +49,15 @@
 	}
 }
 
-// TestOnlyPolicyFilesContainTunableValues checks that only the policy files contain tunable values. Other
-// files of the package may contain only the numbers 0 and 1, and only constants that form an enumeration.
+// TestOnlyPolicyFilesContainTunableValues checks that only the policy files contain tunable values. These
+// files are listed in deploy/balancer.toml under the key policy. Other files of the package may contain
+// only the numbers 0 and 1, and only constants that form an enumeration.
 func TestOnlyPolicyFilesContainTunableValues(t *testing.T) {
 	isPolicy := map[string]bool{}
 	for _, file := range policyFiles(t) {
 		isPolicy[filepath.Base(file)] = true
 		if filepath.Dir(file) != filepath.Join("..", "placer") {
-			t.Errorf("deploy/balancer.toml lists %s in its policy line, but the file is not in package placer", file)
+			t.Errorf("%s is not in package placer, but deploy/balancer.toml lists it under the key policy; want only files of the package there", file)
 		}
 	}
 	files, err := filepath.Glob("*.go")
@@ -67,7 +69,7 @@
 			continue
 		}
 		for _, position := range findTunableValues(t, file) {
-			t.Errorf("%s: a tunable value must be in a file that the policy line of deploy/balancer.toml lists", position)
+			t.Errorf("%s: this file contains a tunable value, but deploy/balancer.toml does not list the file under the key policy", position)
 		}
 	}
 }
@@ -124,12 +126,12 @@
 		source string
 		want   int
 	}{
-		"constants with iota":      {"const (\n\ta = iota + 1\n\tb\n)", 0},
-		"numbers zero and one":     {"var a = 0 + 1", 0},
-		"constant without iota":    {"const a = 1", 1},
-		"floating-point number":    {"var a = 0.5", 1},
-		"integer greater than one": {"func f() int { return 3 }", 1},
-		"constant with a type":     {"const a float64 = 1e3", 2},
+		"constants with iota":                     {"const (\n\ta = iota + 1\n\tb\n)", 0},
+		"numbers zero and one":                    {"var a = 0 + 1", 0},
+		"constant without iota":                   {"const a = 1", 1},
+		"floating-point number":                   {"var a = 0.5", 1},
+		"integer greater than one":                {"func f() int { return 3 }", 1},
+		"constant with a type and the value 1000": {"const a float64 = 1e3", 2},
 	} {
 		t.Run(name, func(t *testing.T) {
 			file := filepath.Join(t.TempDir(), "source.go")
--- a/placer/rules_script_test.go
+++ b/placer/rules_script_test.go
@@ -45,8 +45,8 @@
 type taskState struct {
 	Task
 	attempts []*driverAttempt
-	done     bool
-	answers  int // number of final answers that the client received
+	done     bool // the request was answered, placed or withdrawn
+	answers  int  // number of final answers that the client received
 }
 
 func (driver *randomDriver) handleEvent(event Event) {
@@ -74,7 +74,7 @@
 	}
 	task := driver.tasks[action.Task]
 	if task == nil {
-		driver.failOnAction(action, "the action is for a task that was never requested or found running")
+		driver.failOnAction(action, "the action is for a task that was neither requested nor found running")
 	}
 	if action.Kind == Migrate {
 		if len(task.attempts) == 0 || !task.attempts[len(task.attempts)-1].bound {
@@ -155,7 +155,7 @@
 		}
 	}
 	if float64(attemptCount) > math.Ceil(driver.config.SlowStart.MaxAttempts/float64(driver.config.Peers.Total)) {
-		driver.failOnAction(action, "the slow-start rule is violated, because this scheduler made %d attempts on the node within the overload window, which exceeds its share", attemptCount)
+		driver.failOnAction(action, "the slow-start rule is violated, because this scheduler made %d attempts on the node within the time OverloadWindow, which is more than the share of the scheduler", attemptCount)
 	}
 	driver.slowStartAttempts[node.ID] = append(driver.slowStartAttempts[node.ID], driver.now)
 }
@@ -175,7 +175,7 @@
 		}
 	}
 	if taskCount > class.MaxPerDomain {
-		driver.failOnAction(action, "the spread rule is violated, because the failure domain of the node would have %d tasks of the service, which exceeds MaxPerDomain", taskCount)
+		driver.failOnAction(action, "the spread rule is violated, because the failure domain of the node would have %d tasks of the service, which is more than MaxPerDomain permits", taskCount)
 	}
 }
 
--- a/placer/rules_test.go
+++ b/placer/rules_test.go
@@ -36,7 +36,7 @@
 		driver.step(i)
 	}
 	if requestCount := len(driver.placer.requests.byID); requestCount > len(driver.taskOrder)+1 {
-		t.Fatalf("the Placer still keeps %d requests, but only %d tasks are left, want at most one request more than tasks", requestCount, len(driver.taskOrder))
+		t.Fatalf("the Placer still keeps %d requests, but the test driver has only %d tasks left, want at most one request more than tasks", requestCount, len(driver.taskOrder))
 	}
 	return driver.actionLog
 }
--- a/placer/selection_test.go
+++ b/placer/selection_test.go
@@ -127,20 +127,20 @@
 
 // If many requests wait, capacity that becomes free should go to requests that are still within their latency
 // objective. A waiting request can get free capacity only when the Placer draws nodes at random for it again.
-// The Placer must therefore do so less often for requests that have missed their latency objective.
+// For requests that have missed their latency objective, the Placer must thus draw nodes less often.
 func TestLateRequestsRedrawLessOften(t *testing.T) {
 	nodes := testNodes(1)
 	nodes[0].FreeCores = 0
 	placer := newTestPlacer(t, testConfig(), 1, nodes)
 	timers := actionsOfKind(requestPlacement(placer, 100.1, newTestTask(1, 0)), SetTimer)
-	timer := timers[len(timers)-1] // after the last timer, nodes are drawn for the request again
+	timer := timers[len(timers)-1] // when this timer fires, nodes are drawn for the request again
 	inTimeWait := timer.After
 	now, lateWait := Seconds(100.1), Seconds(0)
 	for now < 103 {
 		now += timer.After
 		newTimers := actionsOfKind(placer.Handle(now, Event{Kind: TimerFired, Token: timer.Token}, nil), SetTimer)
 		if len(newTimers) != 1 {
-			t.Fatalf("at the time %.2f, the Placer started the timers %+v, want one timer after which it draws nodes again", now, newTimers)
+			t.Fatalf("at the time %.2f, the Placer started the timers %+v, want one timer that makes it draw nodes again", now, newTimers)
 		}
 		timer, lateWait = newTimers[0], newTimers[0].After
 	}
@@ -149,8 +149,8 @@
 	}
 }
 
-// If the tasks of a service arrive at many schedulers, each scheduler receives few of them. If each scheduler
-// preferred other nodes, the few tasks would be spread over many nodes, and almost every start would be a
+// If the tasks of a service arrive at many schedulers, each scheduler receives few of them. If the schedulers
+// preferred different nodes, the tasks would be spread over many nodes, and almost every start would be a
 // cold start.
 func TestSchedulersAgreeOnPreferredNodes(t *testing.T) {
 	config := testConfig()
@@ -265,7 +265,7 @@
 		config := testConfig()
 		config.Overcommit = Overcommit{Cores: 4, Memory: 4}
 		nodes := testNodes(7)
-		nodes[0].FreeCores = -16 // the cores are saturated, but overcommit allows more tasks
+		nodes[0].FreeCores = -16 // the cores of node 1 are saturated, but overcommit allows more tasks on the node
 		nodes[3].FreeCores, nodes[3].FreeMemory = 1, 1
 		placer := newTestPlacer(t, config, seed, nodes)
 		for i := range 3 { // nodes 1 to 3 have the cached program
--- a/placer/simulation_tasks_test.go
+++ b/placer/simulation_tasks_test.go
@@ -6,13 +6,13 @@
 	"heathshed/placer"
 )
 
-// simTask is a simulated task with its attempts.
+// simTask is a task of the simulation with its attempts.
 type simTask struct {
-	task     placer.Task
-	nodes    []*simNode // node of each attempt, by the index of the attempt
-	ended    []bool     // whether each attempt has ended, by the index of the attempt
-	bound    bool
-	lifetime placer.Seconds
+	placerTask placer.Task
+	nodes      []*simNode // node of each attempt, by the index of the attempt
+	ended      []bool     // whether each attempt has ended, by the index of the attempt
+	bound      bool
+	lifetime   placer.Seconds
 }
 
 func (sim *simulation) newTask() placer.Task {
@@ -68,7 +68,7 @@
 }
 
 func (sim *simulation) sendRequest(task placer.Task) {
-	state := &simTask{task: task, lifetime: sim.scenario.lifetime * 2 * sim.randomSecond()}
+	state := &simTask{placerTask: task, lifetime: sim.scenario.lifetime * 2 * sim.randomSecond()}
 	sim.tasks = append(sim.tasks, state)
 	sim.byID[task.ID] = state
 	sim.handle(placer.Event{Kind: placer.Arrived, Task: task})
@@ -81,7 +81,7 @@
 }
 
 func (sim *simulation) withdraw(task *simTask) {
-	sim.handle(placer.Event{Kind: placer.Withdrawn, TaskID: task.task.ID})
+	sim.handle(placer.Event{Kind: placer.Withdrawn, TaskID: task.placerTask.ID})
 	attemptIndex := len(task.ended) - 1
 	if attemptIndex >= 0 && !task.ended[attemptIndex] && sim.withProbability(0.8-sim.scenario.withdrawalProbability) {
 		sim.endAttempt(task, attemptIndex, placer.Cancelled, placer.NoReason, true)
@@ -90,7 +90,7 @@
 
 // resubmit requests a task again under a new task ID.
 func (sim *simulation) resubmit(task *simTask) {
-	resubmitted := task.task
+	resubmitted := task.placerTask
 	resubmitted.ID, resubmitted.IsRetry = sim.nextTask, true
 	resubmitted.Deadline = sim.now + 4
 	sim.nextTask++
@@ -114,13 +114,13 @@
 	if number%4 == 3 {
 		node = &simNode{Node: placer.Node{ID: placer.NodeID(900000 + number)}}
 	}
-	task := &simTask{task: sim.newTask(), nodes: []*simNode{node}, ended: []bool{false}, bound: true}
+	task := &simTask{placerTask: sim.newTask(), nodes: []*simNode{node}, ended: []bool{false}, bound: true}
 	sim.tasks = append(sim.tasks, task)
-	sim.byID[task.task.ID] = task
-	node.requestedCores += task.task.Cores
-	node.requestedMemory += task.task.Memory
+	sim.byID[task.placerTask.ID] = task
+	node.requestedCores += task.placerTask.Cores
+	node.requestedMemory += task.placerTask.Memory
 	for range 1 + number%2 { // every second task is reported twice
-		sim.handle(placer.Event{Kind: placer.Adopted, Task: task.task, Node: node.ID})
+		sim.handle(placer.Event{Kind: placer.Adopted, Task: task.placerTask, Node: node.ID})
 	}
 	sim.schedule(3+20*sim.randomSecond(), func() { sim.finishTask(task, 0) })
 }
@@ -143,7 +143,7 @@
 	size := sim.nodeSize(node)
 	switch {
 	case sim.withProbability(sim.scenario.lateOutcomeProbability): // the outcome arrives after the deadline
-		endAfter(task.task.Deadline-sim.now+1, placer.TimedOut, placer.NoReason)
+		endAfter(task.placerTask.Deadline-sim.now+1, placer.TimedOut, placer.NoReason)
 	case node.removed || node.State == placer.Terminated:
 		endAfter(latency, placer.Unreachable, placer.NoReason)
 	case node.State == placer.Draining:
@@ -152,9 +152,9 @@
 		endAfter(action.Until-sim.now, placer.TimedOut, placer.NoReason)
 	case node.broken:
 		endAfter(latency, placer.Errored, placer.NoReason)
-	case node.requestedCores+task.task.Cores > size.Cores*sim.scenario.config.Overcommit.Cores:
+	case node.requestedCores+task.placerTask.Cores > size.Cores*sim.scenario.config.Overcommit.Cores:
 		endAfter(latency, placer.Rejected, placer.InsufficientCores)
-	case node.requestedMemory+task.task.Memory > size.Memory*sim.scenario.config.Overcommit.Memory:
+	case node.requestedMemory+task.placerTask.Memory > size.Memory*sim.scenario.config.Overcommit.Memory:
 		endAfter(latency, placer.Rejected, placer.InsufficientMemory)
 	case sim.withProbability(sim.scenario.failureProbability):
 		outcome := sim.randomFailure()
@@ -188,12 +188,12 @@
 	}
 	task.bound = true
 	node := task.nodes[attemptIndex]
-	node.requestedCores += task.task.Cores
-	node.requestedMemory += task.task.Memory
-	event := placer.Event{Kind: placer.Bound, TaskID: task.task.ID, Attempt: attemptIndex, Node: node.ID, Elapsed: elapsed}
+	node.requestedCores += task.placerTask.Cores
+	node.requestedMemory += task.placerTask.Memory
+	event := placer.Event{Kind: placer.Bound, TaskID: task.placerTask.ID, Attempt: attemptIndex, Node: node.ID, Elapsed: elapsed}
 	sim.handle(event)
 	if sim.withProbability(0.02) {
-		sim.handle(event) // the event is repeated
+		sim.handle(event) // the Placer receives the same event twice
 	}
 	for kind := placer.Started; kind <= placer.NodeMemory; kind++ {
 		if sim.withProbability(0.5) {
@@ -204,8 +204,8 @@
 }
 
 func (sim *simulation) reportUsage(task *simTask, attemptIndex int, kind placer.UsageKind) {
-	value := 2 * sim.rng.Float64() * task.task.Cores
-	sim.handle(placer.Event{Kind: placer.UsageReported, TaskID: task.task.ID, Attempt: attemptIndex, Node: task.nodes[attemptIndex].ID, Usage: kind, Value: value})
+	value := 2 * sim.rng.Float64() * task.placerTask.Cores
+	sim.handle(placer.Event{Kind: placer.UsageReported, TaskID: task.placerTask.ID, Attempt: attemptIndex, Node: task.nodes[attemptIndex].ID, Usage: kind, Value: value})
 }
 
 // finishTask ends a bound task. In three of four cases, the task has run to completion.
@@ -224,13 +224,13 @@
 	task.ended[attemptIndex] = true
 	node := task.nodes[attemptIndex]
 	if task.bound && attemptIndex == len(task.ended)-1 {
-		node.requestedCores -= task.task.Cores
-		node.requestedMemory -= task.task.Memory
+		node.requestedCores -= task.placerTask.Cores
+		node.requestedMemory -= task.placerTask.Memory
 	}
-	event := placer.Event{Kind: placer.Ended, TaskID: task.task.ID, Attempt: attemptIndex, Node: node.ID, Result: result, Reason: reason,
+	event := placer.Event{Kind: placer.Ended, TaskID: task.placerTask.ID, Attempt: attemptIndex, Node: node.ID, Result: result, Reason: reason,
 		Elapsed: 0.1, Final: final, Report: sim.randomReport(node)}
 	sim.handle(event)
 	if sim.withProbability(0.02) {
-		sim.handle(event) // the event is repeated
+		sim.handle(event) // the Placer receives the same event twice
 	}
 }
--- a/placer/slowstart_test.go
+++ b/placer/slowstart_test.go
@@ -17,7 +17,7 @@
 		attemptCount += len(actionsOfKind(requestPlacement(placer, 103+Seconds(i)/20, newTaskWithDeadline(i+10, 0, 109)), StartAttempt))
 	}
 	if attemptCount != 4 { // each of the two schedulers may make half of the 8 attempts that MaxAttempts permits
-		t.Fatalf("the scheduler made %d attempts within an overload window, want its share of 4", attemptCount)
+		t.Fatalf("the scheduler made %d attempts within 2 s on a node in slow start, want 4, which is its share of the 8 attempts that MaxAttempts permits", attemptCount)
 	}
 }
 
@@ -35,7 +35,7 @@
 		}
 	}
 	if attemptCount == 0 || attemptCount > 8 {
-		t.Fatalf("20 schedulers made %d attempts within an overload window, want 1 to 8", attemptCount)
+		t.Fatalf("20 schedulers together made %d attempts within 2 s on a node in slow start, want at least one, and at most the 8 that MaxAttempts permits", attemptCount)
 	}
 }
 
@@ -92,18 +92,18 @@
 	}
 	for id, times := range attemptTimes {
 		if maxCount := maxCountInWindow(times, config.SlowStart.OverloadWindow); float64(maxCount) > config.SlowStart.MaxAttempts {
-			t.Errorf("%d attempts were made within an overload window on node %d, which is in slow start; want at most %v", maxCount, id, config.SlowStart.MaxAttempts)
+			t.Errorf("%d attempts were made within the time OverloadWindow on node %d, which is in slow start; want at most MaxAttempts, which is %v", maxCount, id, config.SlowStart.MaxAttempts)
 		}
 	}
 	if minAttempts := 20 * 12 / float64(config.SlowStart.OverloadWindow) * config.SlowStart.MaxAttempts / 4; float64(slowStartAttempts) < minAttempts {
-		t.Errorf("%d attempts were made in total on nodes in slow start, want at least %v to test the rule", slowStartAttempts, minAttempts)
+		t.Errorf("%d attempts were made in total on nodes in slow start, want at least %v to test the slow-start rule", slowStartAttempts, minAttempts)
 	}
 }
 
-// Thirty schedulers place tasks on one node in slow start. Two of the schedulers receive half of the traffic,
-// and every second scheduler restarts and loses its state. At most MaxAttempts attempts must arrive at the
-// node within an overload window. The test allows more if connection setup delays the attempts, because they
-// may then arrive closer together than they were sent.
+// Thirty schedulers place tasks on one node in slow start. Two of the schedulers receive half of the
+// traffic, and every second scheduler restarts and loses its state. At most MaxAttempts attempts must
+// arrive at the node within the time OverloadWindow. The test allows more if connection setup delays the
+// attempts, because they may then arrive closer together than they were sent.
 func TestThirtySchedulersOnOneNodeInSlowStart(t *testing.T) {
 	for _, maxAttempts := range []float64{4, 12, 42, 100} {
 		for _, delaysConnections := range []bool{false, true} {
@@ -155,7 +155,7 @@
 				maxArrivals += 2*math.Sqrt(maxAttempts) + 2
 			}
 			if float64(maxCount) > maxArrivals {
-				t.Errorf("with MaxAttempts=%v and delaysConnections=%v, %d attempts arrived at the node within an overload window, want at most %.0f", maxAttempts, delaysConnections, maxCount, maxArrivals)
+				t.Errorf("with MaxAttempts=%v and delaysConnections=%v, %d attempts arrived at the node within OverloadWindow (1 s), want at most %.0f", maxAttempts, delaysConnections, maxCount, maxArrivals)
 			}
 			if float64(len(arrivals)) < 16*maxAttempts/4 {
 				t.Errorf("with MaxAttempts=%v and delaysConnections=%v, only %d attempts arrived at the node in total, want at least 4 times MaxAttempts", maxAttempts, delaysConnections, len(arrivals))
@@ -197,16 +197,16 @@
 		attemptTimes                      []Seconds
 		want                              bool
 	}{
-		"node started long ago":                                           {0, 50, []Seconds{99, 99, 99}, true},
-		"node is no longer in slow start":                                 {90, 50, []Seconds{99, 99, 99}, true},
-		"no attempts were made on the node in slow start":                 {95, 50, nil, true},
-		"number of recent attempts is below the share":                    {95, 50, []Seconds{99}, true},
-		"number of recent attempts equals the share":                      {95, 50, []Seconds{98, 99}, false},
-		"one of three attempts was made before the counting window":       {95, 50, []Seconds{97, 97.7, 99}, true},
-		"scheduler started during slow start, within the counting window": {95, 98, nil, false},
-		"scheduler started during slow start, before the counting window": {95, 97.7, nil, true},
-		"scheduler started before the node":                               {98.5, 98, nil, true},
-		"scheduler and node started at the same time":                     {98, 98, nil, true},
+		"node started long ago":                                               {0, 50, []Seconds{99, 99, 99}, true},
+		"node is no longer in slow start":                                     {90, 50, []Seconds{99, 99, 99}, true},
+		"no attempts were made on the node in slow start":                     {95, 50, nil, true},
+		"number of recent attempts is below the scheduler's share":            {95, 50, []Seconds{99}, true},
+		"number of recent attempts equals the scheduler's share":              {95, 50, []Seconds{98, 99}, false},
+		"one of three attempts was made before the counting window":           {95, 50, []Seconds{97, 97.7, 99}, true},
+		"scheduler started within counting window, during slow start of node": {95, 98, nil, false},
+		"scheduler started before counting window, during slow start of node": {95, 97.7, nil, true},
+		"scheduler started before the node":                                   {98.5, 98, nil, true},
+		"scheduler and node started at the same time":                         {98, 98, nil, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			rule := &slowStart{limits: limits, peers: Peers{Total: 1}, startedAt: test.schedulerStartedAt}
--- a/placer/spread_test.go
+++ b/placer/spread_test.go
@@ -38,15 +38,15 @@
 				t.Errorf("allowsTask returned %v for a third task of the service, want %v", got, test.want)
 			}
 			if !rule.allowsTask(class, service+1, test.candidateNode) {
-				t.Error("the spread rule counts tasks of another service, want only tasks of the same service to count")
+				t.Error("the spread rule counts tasks of another service, want it to count only tasks of the same service")
 			}
 			rule.removeAttempt(firstAttempt)
 			if !rule.allowsTask(class, service, test.candidateNode) {
-				t.Error("the spread rule still counts an attempt after it was removed, want it not to count")
+				t.Error("the spread rule still counts an attempt after a call of removeAttempt, want it not to count the attempt")
 			}
 			rule.removeAttempt(secondAttempt)
 			if len(rule.attemptsByService) != 0 {
-				t.Error("the spread rule keeps a service that has no attempts left, want it removed")
+				t.Error("the spread rule keeps a service that has no attempts left, want the service removed")
 			}
 		})
 	}
