--- a/placer/average.go
+++ b/placer/average.go
@@ -4,9 +4,9 @@
 // their mean absolute deviation.
 //
 // An estimate is an approximate value of the mean. Estimates may be added before the first sample arrives.
-// They are averaged with the initial mean, which counts as one estimate. If estimates were added, the
-// weight of a sample is at least 1/n, where n is the number of samples and estimates so far. The first
-// samples are thus averaged with the estimates.
+// They are averaged with the initial mean, which counts as one estimate. If estimates were added, the weight
+// of a sample is at least 1/n, where n is the number of samples and estimates so far. The first samples are
+// thus averaged with the estimates.
 type runningAverage struct {
 	mean, deviation            float64
 	sampleCount, estimateCount int
--- a/placer/bench_test.go
+++ b/placer/bench_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// BenchmarkDecision measures how long a Placer takes to process all events of one task, from its arrival
-// to its end. It runs with several numbers of nodes.
+// BenchmarkDecision measures how long a Placer takes to process all events of one task, from its arrival to
+// its end. It runs with several numbers of nodes.
 func BenchmarkDecision(b *testing.B) {
 	for _, n := range []int{10, 100, 1000, 10000} {
 		b.Run(fmt.Sprint("nodes=", n), func(b *testing.B) {
--- a/placer/capacity.go
+++ b/placer/capacity.go
@@ -8,18 +8,17 @@
 	// is at least this old.
 	reportMaxAge = 2.0 * contenderWindow
 	// minRequestedFraction is the minimum fraction of a node's cores and of its memory that tasks must
-	// request. Below it, the node's load reports do not update the learned ratios of used to requested
-	// capacity.
+	// request. If they request less, the node's load reports do not update the learned ratios of used to
+	// requested capacity.
 	minRequestedFraction = 0.2
-	// usageLearningRate is the weight of a new measurement in the running averages of the ratios of used
-	// to requested capacity.
+	// usageLearningRate is the weight of a new measurement in the running averages of the ratios of used to
+	// requested capacity.
 	usageLearningRate = learningRate / 2
 	// maxMemoryUtilization is the fraction of a node's memory that may be in use. Nodes slow down beyond this
 	// fraction, and evict tasks when all memory is in use.
 	maxMemoryUtilization = 0.92
-	// degradationTolerance is a fraction of the DegradationRange of a task class. The cores of a node
-	// count as saturated if their utilization exceeds SaturationThreshold by more than this fraction of
-	// the range.
+	// degradationTolerance is a fraction of the DegradationRange of a task class. The cores of a node count
+	// as saturated if their utilization exceeds SaturationThreshold by more than this fraction of the range.
 	degradationTolerance = 0.25
 )
 
@@ -96,9 +95,9 @@
 		cores = node.cores - load.report.FreeCores + recentCores
 	}
 	if m.behavior.ReportsUsage && !math.IsNaN(load.report.FreeMemory) {
-		// Recently started tasks do not use all their memory yet, so the node may report less memory in
-		// use than its tasks will need. The model uses the reported memory only if it exceeds the memory
-		// that the tasks are expected to use.
+		// Recently started tasks do not use all their memory yet, so the node may report less memory in use
+		// than its tasks will need. The model uses the reported memory only if it exceeds the memory that the
+		// tasks are expected to use.
 		memory = max(memory, node.memory-load.report.FreeMemory+recentMemory)
 	}
 	return cores, memory
@@ -106,13 +105,13 @@
 
 // projection is the expected load of a node with one more task.
 type projection struct {
-	fits             bool    // the node is not known to lack capacity for the task
+	fits             bool    // the node has capacity for the task, or its free capacity is unknown
 	saturationExcess float64 // utilization of the cores minus the utilization that the task class tolerates
 }
 
 // projectLoad returns the expected load of a node with one more task of the given task class. If the free
-// capacity of the node is unknown or insufficient, it does not compute the saturation excess. The result
-// then contains the saturation excess that was last recorded for the node.
+// capacity of the node is unknown or insufficient, it does not compute the saturation excess. The result then
+// contains the saturation excess that was last recorded for the node.
 func (m *capacityModel) projectLoad(now Seconds, class *Class, task *Task, node *trackedNode) projection {
 	lastExcess := node.load.saturationExcess
 	free := m.estimateFree(now, node)
--- a/placer/config.go
+++ b/placer/config.go
@@ -16,8 +16,8 @@
 	NonIdempotent                      // the task must never start twice
 )
 
-// TopologyDomain is a level of the topology, such as a rack or a zone. Some rules for placement apply to all
-// nodes within one domain.
+// TopologyDomain is a level of the topology, such as a rack or a zone. The spread rule and the rule on
+// retries each apply within one domain of a configured level.
 type TopologyDomain uint8
 
 // The levels of the topology, from no domain to the whole cluster.
--- a/placer/consolidation.go
+++ b/placer/consolidation.go
@@ -14,25 +14,25 @@
 	// consolidationTarget is the fraction of the active nodes' capacity limits that must be in use before
 	// another node is made active.
 	consolidationTarget = 0.8
-	// consolidationHysteresisFactor is the factor by which consolidationTarget is lowered for nodes that
-	// are active. An active node is put on standby only if the nodes before it in the order of activation
-	// can take all tasks at the lower target.
+	// consolidationHysteresisFactor is the factor by which consolidationTarget is lowered for nodes that are
+	// active. An active node is put on standby only if the nodes before it in the order of activation can
+	// take all tasks at the lower target.
 	consolidationHysteresisFactor = 0.95
-	// minActiveNodes is the number of nodes that are always active. They are never put on standby, that
-	// is, in reserve.
+	// minActiveNodes is the number of nodes that are always active. They are never put on standby, that is,
+	// in reserve.
 	minActiveNodes = 2
-	// standbyUpdateInterval is the shortest time between two decisions about which nodes are active and
-	// which are on standby, that is, in reserve.
+	// standbyUpdateInterval is the shortest time between two decisions about which nodes are active and which
+	// are on standby, that is, in reserve.
 	standbyUpdateInterval = contenderWindow / 20
 	// migrationInterval is the mean time between two checks by one scheduler whether it can migrate a task
 	// off a node on standby, that is, in reserve. Each check migrates at most one task.
 	migrationInterval = 0.1 * contenderWindow
-	// minStandbyTime is the time that a node must have been on standby, that is, in reserve, before its
-	// last tasks are migrated to other nodes.
+	// minStandbyTime is the time that a node must have been on standby, that is, in reserve, before its last
+	// tasks are migrated to other nodes.
 	minStandbyTime = contenderWindow
-	// nearlyEmptyFraction defines when a node counts as nearly empty: its tasks request at most this
-	// fraction of its cores and at most this fraction of its memory. A node on standby, that is, in
-	// reserve, must be nearly empty before tasks are migrated off it.
+	// nearlyEmptyFraction defines when a node counts as nearly empty: its tasks request at most this fraction
+	// of its cores and at most this fraction of its memory. A node on standby, that is, in reserve, must be
+	// nearly empty before tasks are migrated off it.
 	nearlyEmptyFraction = 0.3
 )
 
@@ -87,12 +87,12 @@
 	for i, node := range c.readyNodes {
 		targetFraction := consolidationTarget
 		if !node.standby.onStandby {
-			// The lower target applies to a node that is active now. It is put on standby only if all
-			// tasks fit, with a larger margin, on the nodes before it in the order of activation. A node
-			// that is on standby stays there with a smaller margin. Without this difference, small changes
-			// of the demand would repeatedly switch a node between active and standby. Each switch to
-			// standby is costly, because the tasks on the node must end or be migrated before the node is
-			// no longer in use.
+			// The lower target applies to a node that is active now. It is put on standby only if all tasks
+			// fit, with a larger margin, on the nodes before it in the order of activation. A node that is on
+			// standby needs only a smaller margin to stay on standby. Without this difference, small changes
+			// of the demand would repeatedly switch a node between active and standby. Each switch to standby
+			// is costly, because the tasks on the node must end or be migrated before the node is no longer
+			// in use.
 			targetFraction *= consolidationHysteresisFactor
 		}
 		node.standby.setStandby(now, i >= minActiveNodes &&
@@ -107,8 +107,8 @@
 	}
 }
 
-// setStandby puts the node on standby (in reserve) or makes it active. It records the time at which an
-// active node is put on standby.
+// setStandby puts the node on standby (in reserve) or makes it active. It records the time at which an active
+// node is put on standby.
 func (s *standbyRecord) setStandby(now Seconds, onStandby bool) {
 	if onStandby && !s.onStandby {
 		s.standbySince = now
@@ -154,9 +154,9 @@
 		demand.requestedMemory <= activeMemory*c.cfg.Overcommit.Memory*fraction
 }
 
-// migrateFromStandby migrates one task of this scheduler off a node that has been on standby (in reserve)
-// for at least minStandbyTime. Without migration, the last tasks on the node would keep it in use until
-// the longest of them ends.
+// migrateFromStandby migrates one task of this scheduler off a node that has been on standby (in reserve) for
+// at least minStandbyTime. Without migration, the last tasks on the node would keep it in use until the
+// longest of them ends.
 func (c *consolidator) migrateFromStandby(now Seconds) {
 	c.updateStandby(now)
 	if c.cfg.Costs.Node <= c.cfg.Costs.Migration {
@@ -179,9 +179,9 @@
 }
 
 // mayMigrateFrom reports whether a task of this scheduler may be migrated off the node. The node must be
-// nearly empty and must have been on standby (in reserve) for minStandbyTime. Several schedulers may
-// migrate tasks off the same node at the same time. If many tasks were on the node, the schedulers
-// together would migrate many tasks at once.
+// nearly empty and must have been on standby (in reserve) for minStandbyTime. Several schedulers may migrate
+// tasks off the same node at the same time. If many tasks were on the node, the schedulers together would
+// migrate many tasks at once.
 func (c *consolidator) mayMigrateFrom(now Seconds, node *trackedNode) bool {
 	free := c.capacity.estimateFree(now, node)
 	requestedFraction := max((node.cores-free.cores)/node.cores, (node.memory-free.memory)/node.memory)
--- a/placer/consolidation_test.go
+++ b/placer/consolidation_test.go
@@ -2,9 +2,9 @@
 
 import "testing"
 
-// A node stays in use until its last task has ended or was migrated. A node on standby (in reserve) must
-// thus get no attempts, and its last task must be migrated. Without migration, the node would stay in use
-// until the longest of its tasks ends. The task must be migrated only once.
+// A node stays in use until its last task has ended or was migrated. A node on standby (in reserve) must thus
+// get no attempts, and its last task must be migrated. Without migration, the node would stay in use until
+// the longest of its tasks ends. The task must be migrated only once.
 func TestStandbyNodesGetNoAttemptsAndLastTaskIsMigrated(t *testing.T) {
 	config := testConfig()
 	config.Costs.Node, config.Costs.Migration = 0.2, 0.05
@@ -33,9 +33,9 @@
 	}
 }
 
-// If nodes acknowledge a task only when it starts, an attempt is unanswered until then, and a busy
-// scheduler almost always has an unanswered attempt. If an unanswered attempt prevented migrations, the
-// last tasks on a node on standby (in reserve) would almost never be migrated.
+// If nodes acknowledge a task only when it starts, an attempt is unanswered until then, and a busy scheduler
+// almost always has an unanswered attempt. If an unanswered attempt prevented migrations, the last tasks on a
+// node on standby (in reserve) would almost never be migrated.
 func TestMigrationFromStandbyWhileTasksStart(t *testing.T) {
 	config := testConfig()
 	config.Costs.Node, config.Costs.Migration = 0.2, 0.05
@@ -51,8 +51,8 @@
 }
 
 // A node in slow start can take only a few tasks. If its capacity were added to the capacity of the active
-// nodes, the active nodes would appear sufficient for all tasks. The nodes that are not in slow start
-// would then be put on standby (in reserve), although only they can take many tasks.
+// nodes, the active nodes would appear sufficient for all tasks. The nodes that are not in slow start would
+// then be put on standby (in reserve), although only they can take many tasks.
 func TestNodesInSlowStartDoNotCountAsActiveCapacity(t *testing.T) {
 	config := testConfig()
 	config.Costs.Node = 0.2
--- a/placer/discovery.go
+++ b/placer/discovery.go
@@ -7,15 +7,15 @@
 	// nodeRetention is the time for which the record of a terminated node is kept after the last task of this
 	// scheduler on the node has ended.
 	nodeRetention Seconds = 60
-	// maxPollBackoffDoublings limits the backoff after failed requests for the node list (polls). It is
-	// the maximum number of times that the wait before the next poll is doubled.
+	// maxPollBackoffDoublings limits the backoff after failed requests for the node list (polls). It is the
+	// maximum number of times that the wait before the next poll is doubled.
 	maxPollBackoffDoublings = 6
-	// pollRetryDivisor determines the longest wait before a request for the node list (a poll) is
-	// repeated. The wait is MaxPollInterval divided by this number. An unanswered poll is repeated after
-	// this wait. The backoff after failed polls grows up to this wait.
+	// pollRetryDivisor determines the longest wait before a request for the node list (a poll) is repeated.
+	// The wait is MaxPollInterval divided by this number. An unanswered poll is repeated after this wait. The
+	// backoff after failed polls grows up to this wait.
 	pollRetryDivisor = 2
-	// listTimeoutDivisor determines how long the scheduler waits for a new node list before it requests
-	// the list again. The wait is MaxPollInterval divided by this number.
+	// listTimeoutDivisor determines how long the scheduler waits for a new node list before it requests the
+	// list again. The wait is MaxPollInterval divided by this number.
 	listTimeoutDivisor = 3
 )
 
@@ -59,8 +59,8 @@
 	l.startTimer(min(l.maxInterval/pollRetryDivisor, l.shortestObjective*Seconds(math.Exp2(doublings))))
 }
 
-// handleTimer is called when the timer with the given token fires. It polls again if the last poll failed
-// or was not answered, or if no node list has arrived for maxInterval divided by listTimeoutDivisor.
+// handleTimer is called when the timer with the given token fires. It polls again if the last poll failed or
+// was not answered, or if no node list has arrived for maxInterval divided by listTimeoutDivisor.
 func (l *nodeListPoller) handleTimer(now Seconds, token uint64) {
 	if token != l.timerToken {
 		return
--- a/placer/filter.go
+++ b/placer/filter.go
@@ -21,8 +21,8 @@
 	affinityHash     float64 // hash of the node and the service; the selector computes it when needed
 }
 
-// belowSaturation reports whether the projected utilization of the node's cores is within the limit that
-// the task class tolerates. Beyond this limit, all tasks on the node run more slowly.
+// belowSaturation reports whether the projected utilization of the node's cores is within the limit that the
+// task class tolerates. Beyond this limit, all tasks on the node run more slowly.
 func (c *candidate) belowSaturation() bool { return c.saturationExcess <= 0 }
 
 // isActive reports whether the node is active, that is, not on standby (in reserve).
--- a/placer/latency.go
+++ b/placer/latency.go
@@ -2,8 +2,8 @@
 
 // Constants of the latency model.
 const (
-	// learningRate is the weight of a new measurement in the running averages of answer times and
-	// cold-start times.
+	// learningRate is the weight of a new measurement in the running averages of answer times and cold-start
+	// times.
 	learningRate = 0.1
 	// initialDeviationDivisor is the number by which the first sample of a running average is divided. The
 	// result is the initial value of the mean absolute deviation.
@@ -12,8 +12,8 @@
 	// when the task starts. The timeout is long, because the next attempt for the request uses additional
 	// capacity: an attempt that timed out still occupies capacity on its node.
 	startTimeoutFraction = 0.7
-	// initialTimeoutDivisor determines the timeout of attempts until the first attempt of the task class
-	// was answered. The timeout is Class.Deadline divided by this number.
+	// initialTimeoutDivisor determines the timeout of attempts until the first attempt of the task class was
+	// answered. The timeout is Class.Deadline divided by this number.
 	initialTimeoutDivisor = 4
 	// timeoutDeviationFactor is the number of mean absolute deviations by which the timeout exceeds the mean
 	// answer time.
@@ -53,8 +53,7 @@
 	}
 }
 
-// attemptTimeout returns the time after which an unanswered attempt for a task of the given task class times
-// out.
+// attemptTimeout returns the timeout of an attempt for a task of the given task class.
 func (m *latencyModel) attemptTimeout(classIndex int) Seconds {
 	class, answerTimes := &m.classes[classIndex], &m.answerTimes[classIndex]
 	if m.acknowledgesOnStart {
@@ -72,8 +71,8 @@
 
 // coldStartsAreSlow reports whether a cold start may miss the latency objective of the task class. A cold
 // start is a start on a node that does not have the program of the service in its cache. If cold starts are
-// slow, the selector prefers nodes that probably have the program in their cache. Until the first cold start
-// was measured, cold starts are assumed to be slow.
+// slow, the selector prefers nodes that probably have the program in their cache. Cold starts are assumed to
+// be slow until the time of one cold start was measured.
 func (m *latencyModel) coldStartsAreSlow(classIndex int) bool {
 	startTimes := &m.coldStartTimes[classIndex]
 	likelyTime := Seconds(startTimes.mean + startTimes.deviation)
--- a/placer/node_load.go
+++ b/placer/node_load.go
@@ -5,7 +5,7 @@
 // nodeLoad is the part of a node's record that the capacity model owns. It holds the information about the
 // load of the node that does not come from the node list.
 type nodeLoad struct {
-	recentChanges       []capacityChange // changes that node lists may not show yet, in chronological order
+	recentChanges       []capacityChange // changes of the requested capacity that node lists may not show yet, oldest first
 	retainedBoundTasks  int              // number of elements of recentChanges with isBoundTask set
 	rejectionValidUntil Seconds          // end of the time without attempts that follows a rejection by the node
 	saturationExcess    float64          // excess utilization of the cores in the latest projection of the load
@@ -83,8 +83,8 @@
 }
 
 // dropOldChanges removes the changes that are older than contenderWindow. The node list is assumed to show
-// such changes. Capacity estimates ignore old changes in any case, but the number retainedBoundTasks
-// includes a task until its change is removed here.
+// such changes. Capacity estimates ignore old changes in any case, but the number retainedBoundTasks includes
+// a task until its change is removed here.
 func (l *nodeLoad) dropOldChanges(now Seconds) {
 	recent := l.changesSince(now - contenderWindow)
 	if len(recent) < len(l.recentChanges) {
@@ -102,8 +102,8 @@
 	return l.recentChanges[first:]
 }
 
-// countRecentlyBoundTasks returns the number of tasks that the node accepted within contenderWindow. The
-// node list may not show these tasks yet.
+// countRecentlyBoundTasks returns the number of tasks that the node accepted within contenderWindow. The node
+// list may not show these tasks yet.
 func (l *nodeLoad) countRecentlyBoundTasks(now Seconds) int {
 	return countBoundTasks(l.changesSince(now - contenderWindow))
 }
--- a/placer/node_tasks.go
+++ b/placer/node_tasks.go
@@ -17,9 +17,9 @@
 	return n.unansweredAttempts > 0 || len(n.boundAttempts) > 0 || len(n.countByService) > 0
 }
 
-// hasProgram reports whether the node probably has the program of a service in its cache. The result is
-// true if a task of the service runs or is attempted on the node, or ran there recently. Only tasks of
-// this scheduler are taken into account.
+// hasProgram reports whether the node probably has the program of a service in its cache. The result is true
+// if a task of the service runs or is attempted on the node, or ran there recently. Only tasks of this
+// scheduler are taken into account.
 func (n *nodeTasks) hasProgram(service ServiceID) bool {
 	return n.countByService[service] > 0 || slices.Contains(n.cachedPrograms, service)
 }
--- a/placer/outcome.go
+++ b/placer/outcome.go
@@ -4,8 +4,8 @@
 // random for it. Only rejections by the two nodes that were last drawn for the request are counted.
 const maxRejections = 2
 
-// handleAdopted adds a task that was found running on a node. The spread rule then includes the task in
-// the number of tasks of its service. If the task is lost, the loss counts as a failure of its node.
+// handleAdopted adds a task that was found running on a node. The spread rule then includes the task in the
+// number of tasks of its service. If the task is lost, the loss counts as a failure of its node.
 func (p *Placer) handleAdopted(ev Event) {
 	if p.requests.hasRequest(ev.Task.ID) {
 		return
@@ -89,8 +89,8 @@
 		} else if p.cfg.classOf(endedAttempt.request).Idempotency != IdempotentByKey {
 			// The node is probably draining, and the node list does not show it yet, so the rejection is
 			// recorded as a failure of the node. It is not recorded as a failure if the task class is
-			// idempotent by key. The node may then have rejected the attempt because it already runs a
-			// copy of the task with the same idempotency key.
+			// idempotent by key. The node may then have rejected the attempt because it already runs a copy
+			// of the task with the same idempotency key.
 			p.outliers.recordFailure(p.now, node)
 		}
 	case Errored:
--- a/placer/outlier.go
+++ b/placer/outlier.go
@@ -38,11 +38,11 @@
 	h.ejectedUntil = 0
 }
 
-// recordError records that an attempt ended with an error. The error counts as a failure of the node,
-// unless the task has also failed on another node. If it has, the task itself is the more likely cause of
-// both errors. The new error then does not count as a failure, and the earlier failure of the other node
-// is canceled. Without this rule, one client whose tasks fail on every node could cause the ejection of
-// all nodes.
+// recordError records that an attempt ended with an error. The error counts as a failure of the node, unless
+// the task has also failed on another node. If it has, the task itself is the more likely cause of both
+// errors. The new error then does not count as a failure, and the earlier failure of the other node is
+// canceled. Without this rule, one client whose tasks fail on every node could cause the ejection of all
+// nodes.
 func (d *outlierDetector) recordError(now Seconds, failedAttempt *attempt) {
 	failedAttempt.errored = true
 	failedElsewhere := false
@@ -96,14 +96,14 @@
 		class.Idempotency != NonIdempotent
 }
 
-// tooFewHealthy reports whether so few ready nodes are healthy for the task class that ejected nodes must
-// be used as well. If the same fault affects most nodes, the affected nodes are not outliers, and their
-// ejection would leave too few nodes for the tasks.
+// tooFewHealthy reports whether so few ready nodes are healthy for the task class that ejected nodes must be
+// used as well. If the same fault affects most nodes, the affected nodes are not outliers, and their ejection
+// would leave too few nodes for the tasks.
 //
 // A node counts as healthy even if it is full or the spread rule excludes it. If such nodes counted as
-// unhealthy, ejected nodes would be used whenever all healthy nodes are full or excluded. Many ejected
-// nodes are dead, and dead nodes appear to have free capacity because their tasks are lost. The attempts
-// would then go to dead nodes.
+// unhealthy, ejected nodes would be used whenever all healthy nodes are full or excluded. Many ejected nodes
+// are dead, and dead nodes appear to have free capacity because their tasks are lost. The attempts would then
+// go to dead nodes.
 func (d *outlierDetector) tooFewHealthy(now Seconds, class *Class, nodes []*trackedNode) bool {
 	readyCount, healthyCount := 0, 0
 	for _, node := range nodes {
--- a/placer/placement.go
+++ b/placer/placement.go
@@ -62,8 +62,9 @@
 	return lateRedrawWait
 }
 
-// scheduleRedraw starts a timer with a jittered delay, after which two nodes are drawn at random for the
-// request again. If too little time remains until the deadline, it sends the final answer instead.
+// scheduleRedraw starts a timer with a jittered delay. When the timer fires, two nodes are drawn at random
+// for the request again. If too little time remains until the deadline, the method sends the final answer
+// instead.
 func (p *Placer) scheduleRedraw(request *placementRequest, delay Seconds) {
 	after := min(p.jitter.randomize(delay), request.Deadline-p.cfg.Attempts.AnswerGrace-p.now)
 	if after <= 0 {
--- a/placer/placer.go
+++ b/placer/placer.go
@@ -5,17 +5,16 @@
 	"math/rand/v2"
 )
 
-// Placer makes the placement decisions of one scheduler. It passes each event to its components, which
-// hold the state and make the decisions. The fields of a component are changed only by its own methods.
-// All decisions and tunable constants are in some of the source files, which are called policy files. The
-// file deploy/balancer.toml lists them under the key policy.
+// Placer makes the placement decisions of one scheduler. It passes each event to its components, which hold
+// the state and make the decisions. The fields of a component are changed only by its own methods. All
+// decisions and tunable constants are in some of the source files, which are called policy files. The file
+// deploy/balancer.toml lists them under the key policy.
 //
 // A request is placed as in the k-COLLISION protocol. The Placer filters the nodes and draws two of them
-// uniformly at random. It skips nodes with too many contenders. The contenders on a node are the
-// unanswered attempts and the recently accepted tasks of this scheduler. The Placer attempts the request
-// on the emptier of the two nodes and then, if that node rejects it, on the other node. If both nodes
-// reject the request, the Placer waits and then draws two nodes again. The file docs/design.md describes
-// the algorithm.
+// uniformly at random. It skips nodes with too many contenders. The contenders on a node are the unanswered
+// attempts and the recently accepted tasks of this scheduler. The Placer attempts the request on the emptier
+// of the two nodes and then, if that node rejects it, on the other node. If both nodes reject the request,
+// the Placer waits and then draws two nodes again. The file docs/design.md describes the algorithm.
 type Placer struct {
 	cfg     Config
 	now     Seconds // time of the latest event
--- a/placer/policy_test.go
+++ b/placer/policy_test.go
@@ -16,8 +16,7 @@
 // deploy/balancer.toml lists them under the key policy.
 const maxPolicyLineWidth = 110
 
-// policyFiles returns the paths of the policy files, which deploy/balancer.toml lists under the key
-// policy.
+// policyFiles returns the paths of the policy files, which deploy/balancer.toml lists under the key policy.
 func policyFiles(t *testing.T) []string {
 	t.Helper()
 	text, err := os.ReadFile("../deploy/balancer.toml")
@@ -50,8 +49,8 @@
 }
 
 // TestOnlyPolicyFilesContainTunableValues checks that only the policy files contain tunable values. These
-// files are listed in deploy/balancer.toml under the key policy. Other files of the package may contain
-// only the numbers 0 and 1, and only constants that form an enumeration.
+// files are listed in deploy/balancer.toml under the key policy. Other files of the package may contain only
+// the numbers 0 and 1, and only constants that form an enumeration.
 func TestOnlyPolicyFilesContainTunableValues(t *testing.T) {
 	isPolicy := map[string]bool{}
 	for _, file := range policyFiles(t) {
--- a/placer/retry.go
+++ b/placer/retry.go
@@ -1,7 +1,7 @@
 package placer
 
-// dedupMargin is a fraction of Class.DedupWindow. After an attempt with an unknown outcome, another
-// attempt is permitted only within this fraction of the window. The rest of the window is a safety margin.
+// dedupMargin is a fraction of Class.DedupWindow. After an attempt with an unknown outcome, another attempt
+// is permitted only within this fraction of the window. The rest of the window is a safety margin.
 const dedupMargin = 0.9
 
 // retryRule implements the rule on retries. After an attempt with an unknown outcome, the task may be
--- a/placer/selection.go
+++ b/placer/selection.go
@@ -17,8 +17,8 @@
 	// preferredNodeCount is the number of nodes that are chosen by hash for a service whose tasks arrive at
 	// many schedulers.
 	preferredNodeCount = 2
-	// maxCachedPrograms is the maximum number of programs without a task on a node that the node is
-	// assumed to keep in its cache.
+	// maxCachedPrograms is the number of programs that a node is assumed to keep in its cache after all tasks
+	// that ran them on the node have ended.
 	maxCachedPrograms = 8
 	// randomStream is the second half of the seed of the random number generator. The first half is the seed
 	// that the caller of New passes.
@@ -111,15 +111,15 @@
 	return candidates[i].node, candidates[j].node
 }
 
-// contenderLimit returns the limit k of the k-COLLISION protocol, which is contenderFactor times the number
-// of pending requests per candidate, but at least 1. A request is pending if it has no final answer yet, or
-// if a node has accepted its task recently.
+// contenderLimit returns the maximum number of contenders on a node, which is the limit k of the k-COLLISION
+// protocol. It is contenderFactor times the number of pending requests per candidate, but at least 1. A
+// request is pending if it has no final answer yet, or if a node has accepted its task recently.
 func (s *selector) contenderLimit(candidateCount int) float64 {
 	pendingRequests := s.requests.unansweredRequests
 	for _, node := range s.nodes.allNodes {
-		// The number retainedBoundTasks includes an accepted task until dropOldChanges removes the task
-		// from the load record of its node. The filter calls dropOldChanges only for nodes that pass its
-		// other checks. On the remaining nodes, a task may count as a pending request for longer than
+		// The number retainedBoundTasks includes an accepted task until dropOldChanges removes the task from
+		// the load record of its node. The filter calls dropOldChanges only for nodes that pass its other
+		// checks. On the remaining nodes, a task may count as a pending request for longer than
 		// contenderWindow.
 		pendingRequests += node.load.retainedBoundTasks
 	}
--- a/placer/simulation_nodes_test.go
+++ b/placer/simulation_nodes_test.go
@@ -108,9 +108,8 @@
 	}
 }
 
-// removeTemporarily removes a node from the node lists for some time. Later, the node is in the lists
-// again, unchanged. It returns to the lists at about the time when the Placer evicts its record of the
-// node.
+// removeTemporarily removes a node from the node lists for some time. Later, the node is in the lists again,
+// unchanged. It returns to the lists at about the time when the Placer evicts its record of the node.
 func (sim *simulation) removeTemporarily(node *simNode) {
 	if node.removed || node.State != placer.Ready {
 		return
--- a/placer/simulation_test.go
+++ b/placer/simulation_test.go
@@ -172,9 +172,9 @@
 	}
 }
 
-// sendUnmatchedEvents repeatedly passes an unmatched event to the Placer. Such an event refers to an
-// unknown task, attempt or timer, or has an unknown kind. The time of the event is 0.05 s before the
-// current time of the simulation, so the times that the Placer receives are not always in order.
+// sendUnmatchedEvents repeatedly passes an unmatched event to the Placer. Such an event refers to an unknown
+// task, attempt or timer, or has an unknown kind. The time of the event is 0.05 s before the current time of
+// the simulation, so the times that the Placer receives are not always in order.
 func (sim *simulation) sendUnmatchedEvents() {
 	sim.schedule(0.5+sim.randomSecond(), sim.sendUnmatchedEvents)
 	id := placer.TaskID(1 + sim.rng.IntN(int(sim.nextTask)))
--- a/placer/slowstart.go
+++ b/placer/slowstart.go
@@ -21,7 +21,8 @@
 // attempts that it made before the restart.
 func (s *slowStart) schedulerStarted(now Seconds) { s.startedAt = now }
 
-// appliesTo reports whether a node is in slow start, which means that the rule limits the attempts on it.
+// appliesTo reports whether a node is in slow start. Only then does the slow-start rule limit the attempts on
+// it.
 func (s *slowStart) appliesTo(now Seconds, node *trackedNode) bool {
 	return node.StartedAt > 0 && now-node.StartedAt < s.limits.Duration
 }
@@ -66,10 +67,10 @@
 
 // attemptShare returns the number of attempts that this scheduler may make on a node in slow start within
 // OverloadWindow. The shares of all schedulers add up to MaxAttempts. Even if most tasks arrive at one
-// scheduler, the node is not overloaded, because this scheduler cannot exceed its own share. If
-// MaxAttempts is not divisible by the number of schedulers, some schedulers may make one more attempt than
-// others. The node ID determines which schedulers these are. Each scheduler can thus use some of the nodes
-// in slow start, even if MaxAttempts is less than the number of schedulers.
+// scheduler, the node is not overloaded, because this scheduler cannot exceed its own share. If MaxAttempts
+// is not divisible by the number of schedulers, some schedulers may make one more attempt than others. The
+// node ID determines which schedulers these are. Each scheduler can thus use some of the nodes in slow start,
+// even if MaxAttempts is less than the number of schedulers.
 func (s *slowStart) attemptShare(node *trackedNode) float64 {
 	maxAttempts, schedulerCount := max(s.limits.MaxAttempts, 0), float64(s.peers.Total)
 	share := math.Floor(maxAttempts / schedulerCount)
--- a/placer/slowstart_test.go
+++ b/placer/slowstart_test.go
@@ -81,10 +81,10 @@
 			id++
 			actions := requestPlacement(peers[self], now, newTaskWithDeadline(id, 0, now+1.1))
 			for attempts := actionsOfKind(actions, StartAttempt); len(attempts) > 0; attempts = actionsOfKind(actions, StartAttempt) {
-				id := attempts[0].Node
-				if nodes[id-1].StartedAt > 0 {
+				nodeID := attempts[0].Node
+				if nodes[nodeID-1].StartedAt > 0 {
 					slowStartAttempts++
-					attemptTimes[id] = append(attemptTimes[id], now)
+					attemptTimes[nodeID] = append(attemptTimes[nodeID], now)
 				}
 				actions = endAttempt(peers[self], now, attempts[0], Rejected, []Reason{InsufficientCores, QueueFull}[random.IntN(2)])
 			}
@@ -100,10 +100,10 @@
 	}
 }
 
-// Thirty schedulers place tasks on one node in slow start. Two of the schedulers receive half of the
-// traffic, and every second scheduler restarts and loses its state. At most MaxAttempts attempts must
-// arrive at the node within the time OverloadWindow. The test allows more if connection setup delays the
-// attempts, because they may then arrive closer together than they were sent.
+// Thirty schedulers place tasks on one node in slow start. Two of the schedulers receive half of the traffic,
+// and every second scheduler restarts and loses its state. At most MaxAttempts attempts must arrive at the
+// node within the time OverloadWindow. The test allows more if connection setup delays the attempts, because
+// they may then arrive closer together than they were sent.
 func TestThirtySchedulersOnOneNodeInSlowStart(t *testing.T) {
 	for _, maxAttempts := range []float64{4, 12, 42, 100} {
 		for _, delaysConnections := range []bool{false, true} {
@@ -171,7 +171,7 @@
 	}{
 		"MaxAttempts exceeds number of schedulers":          {42, 30},
 		"MaxAttempts is below number of schedulers":         {7, 300},
-		"one scheduler has the whole share":                 {8, 1},
+		"there is only one scheduler":                       {8, 1},
 		"MaxAttempts is a multiple of number of schedulers": {60, 20},
 		"MaxAttempts is 0":                                  {0, 3},
 	} {
--- a/placer/spread.go
+++ b/placer/spread.go
@@ -16,8 +16,8 @@
 	r.attemptsByService[service] = append(r.attemptsByService[service], newAttempt)
 }
 
-// removeAttempt removes an attempt from the outstanding attempts of its service. It moves the last attempt
-// of the service to the index of the removed attempt.
+// removeAttempt removes an attempt from the outstanding attempts of its service. It moves the last attempt of
+// the service to the index of the removed attempt.
 func (r *spreadRule) removeAttempt(endedAttempt *attempt) {
 	service := endedAttempt.request.Service
 	attempts := r.attemptsByService[service]
@@ -34,10 +34,9 @@
 	r.attemptsByService[service] = attempts
 }
 
-// allowsTask reports whether one more task of the service may run in the failure domain of the node. The
-// task class determines the kind of domain and the maximum number of tasks. A node that no node list has
-// named could be in any rack or zone. Its tasks are thus included in the number of tasks in every rack and
-// zone.
+// allowsTask reports whether one more task of the service may run in the failure domain of the node. The task
+// class determines the kind of domain and the maximum number of tasks. A node that no node list has named
+// could be in any rack or zone. Its tasks are thus included in the number of tasks in every rack and zone.
 func (r *spreadRule) allowsTask(class *Class, service ServiceID, node *trackedNode) bool {
 	if class.SpreadDomain == NoDomain {
 		return true
--- a/placer/timer.go
+++ b/placer/timer.go
@@ -27,9 +27,9 @@
 	return &timerTable{actions: actions, pendingTimers: map[uint64]pendingTimer{}}
 }
 
-// startTimer starts a timer that fires after the given delay, and returns a token that identifies the
-// timer. A timer cannot be stopped. A caller that starts a new timer in place of an old one must ignore
-// the token of the old timer.
+// startTimer starts a timer that fires after the given delay, and returns a token that identifies the timer.
+// A timer cannot be stopped. A caller that starts a new timer in place of an old one must ignore the token of
+// the old timer.
 func (t *timerTable) startTimer(timer pendingTimer, after Seconds) uint64 {
 	t.lastToken++
 	t.pendingTimers[t.lastToken] = timer
