--- a/placer/capacity_test.go
+++ b/placer/capacity_test.go
@@ -53,7 +53,7 @@
 
 func TestProjectedLoad(t *testing.T) {
 	const now = 100
-	reported := func(report Report) nodeLoad { return nodeLoad{hasReport: true, reportedAt: now, report: report} }
+	loadWithReport := func(report Report) nodeLoad { return nodeLoad{hasReport: true, reportedAt: now, report: report} }
 	notReported := math.NaN()
 	listOnly, listAndUsage := NodeBehavior{ListShowsCapacity: true}, NodeBehavior{ListShowsCapacity: true, ReportsUsage: true}
 	for name, test := range map[string]struct {
@@ -67,9 +67,9 @@
 		"utilization is estimated from requested cores": {listOnly, nodeLoad{}, Task{Cores: 4}, projection{true, 12.0/16 - 1.25}},
 		"requested cores exceed overcommit limit":       {listOnly, nodeLoad{}, Task{Cores: 25}, projection{false, 0}},
 		"requested memory exceeds overcommit limit":     {listOnly, nodeLoad{}, Task{Memory: 49}, projection{false, 0}},
-		"load report contains utilization":              {listOnly, reported(Report{notReported, notReported, 1.5, 0}), Task{Cores: 4}, projection{true, 28.0/16 - 1.25}},
-		"load report contains cores in use":             {listAndUsage, reported(Report{2, notReported, notReported, 0}), Task{Cores: 1}, projection{true, 15.0/16 - 1.25}},
-		"load report shows almost all memory in use":    {listAndUsage, reported(Report{notReported, 2, notReported, 0}), Task{Memory: 1}, projection{false, 8.0/16 - 1.25}},
+		"load report contains utilization":              {listOnly, loadWithReport(Report{notReported, notReported, 1.5, 0}), Task{Cores: 4}, projection{true, 28.0/16 - 1.25}},
+		"load report contains cores in use":             {listAndUsage, loadWithReport(Report{2, notReported, notReported, 0}), Task{Cores: 1}, projection{true, 15.0/16 - 1.25}},
+		"load report shows almost all memory in use":    {listAndUsage, loadWithReport(Report{notReported, 2, notReported, 0}), Task{Memory: 1}, projection{false, 8.0/16 - 1.25}},
 		"free capacity of the node is unknown":          {NodeBehavior{}, nodeLoad{saturationExcess: 7}, Task{Cores: 99}, projection{true, 7}},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -133,8 +133,8 @@
 		t.Fatalf("after a node accepted one of two attempts, the load record contains %+v, want one entry for the pending attempt and one for the bound task", load.recentChanges)
 	}
 	load.taskEnded(102, &request.Task)
-	if last := load.recentChanges[2]; last.cores != -2 || last.memory != -3 || last.isBoundTask {
-		t.Fatalf("after the end of the task, the last entry of the load record is %+v, want an entry with -2 cores and -3 units of memory that is not for a bound task", last)
+	if lastChange := load.recentChanges[2]; lastChange.cores != -2 || lastChange.memory != -3 || lastChange.isBoundTask {
+		t.Fatalf("after the end of the task, the last entry of the load record is %+v, want an entry with -2 cores and -3 units of memory that is not for a bound task", lastChange)
 	}
 	if load.countRecentlyBoundTasks(103.1) != 0 || load.retainedBoundTasks != 1 {
 		t.Error("after the contender window of 2 s and before a call of dropOldChanges, the bound task still counts as recently accepted, or its entry was removed; want it not to count as recently accepted, and its entry to be retained")
--- a/placer/characterization_test.go
+++ b/placer/characterization_test.go
@@ -205,13 +205,13 @@
 // TestCharacterizationRunsAreEqual verifies that two Placers in one process return the same actions in the
 // same scenario.
 func TestCharacterizationRunsAreEqual(t *testing.T) {
-	var first, second strings.Builder
+	var firstRun, secondRun strings.Builder
 	consolidationScenario := scenarios()[1]
 	consolidationScenario.eventCount = 2000
-	runScenario(t, consolidationScenario, &first)
-	runScenario(t, consolidationScenario, &second)
-	if first.String() != second.String() {
-		t.Fatalf("two simulations of the same scenario gave different actions:\nfirst run:\n%s\nsecond run:\n%s", first.String(), second.String())
+	runScenario(t, consolidationScenario, &firstRun)
+	runScenario(t, consolidationScenario, &secondRun)
+	if firstRun.String() != secondRun.String() {
+		t.Fatalf("two simulations of the same scenario gave different actions:\nfirst run:\n%s\nsecond run:\n%s", firstRun.String(), secondRun.String())
 	}
 }
 
--- a/placer/fixture_test.go
+++ b/placer/fixture_test.go
@@ -85,13 +85,13 @@
 
 // actionsOfKind returns the actions of the given kind.
 func actionsOfKind(actions []Action, kind ActionKind) []Action {
-	var matching []Action
+	var matchingActions []Action
 	for _, action := range actions {
 		if action.Kind == kind {
-			matching = append(matching, action)
+			matchingActions = append(matchingActions, action)
 		}
 	}
-	return matching
+	return matchingActions
 }
 
 // requireOneAttempt returns the only StartAttempt action among the given actions. It fails the test if there
--- a/placer/node_load.go
+++ b/placer/node_load.go
@@ -86,20 +86,20 @@
 // such changes. Capacity estimates ignore old changes in any case, but the number retainedBoundTasks includes
 // a task until its change is removed here.
 func (l *nodeLoad) dropOldChanges(now Seconds) {
-	recent := l.changesSince(now - contenderWindow)
-	if len(recent) < len(l.recentChanges) {
-		l.recentChanges = l.recentChanges[:copy(l.recentChanges, recent)]
+	keptChanges := l.changesSince(now - contenderWindow)
+	if len(keptChanges) < len(l.recentChanges) {
+		l.recentChanges = l.recentChanges[:copy(l.recentChanges, keptChanges)]
 		l.retainedBoundTasks = countBoundTasks(l.recentChanges)
 	}
 }
 
 // changesSince returns the changes at or after the given time, in chronological order.
 func (l *nodeLoad) changesSince(earliest Seconds) []capacityChange {
-	first := 0
-	for first < len(l.recentChanges) && l.recentChanges[first].changedAt < earliest {
-		first++
+	firstIndex := 0
+	for firstIndex < len(l.recentChanges) && l.recentChanges[firstIndex].changedAt < earliest {
+		firstIndex++
 	}
-	return l.recentChanges[first:]
+	return l.recentChanges[firstIndex:]
 }
 
 // countRecentlyBoundTasks returns the number of tasks that the node accepted within contenderWindow. The node
--- a/placer/outlier_test.go
+++ b/placer/outlier_test.go
@@ -91,8 +91,8 @@
 		if !detector.recordFailure(now, node) {
 			t.Fatalf("failure %d of the node was not counted, want each failure to be counted", failure)
 		}
-		if ejected := node.health.ejectedUntil - now; ejected < 0.8*mean || ejected > 1.2*mean {
-			t.Errorf("failure %d of the node ejects it for %v s, want about %v s", failure, ejected, mean)
+		if ejectionTime := node.health.ejectedUntil - now; ejectionTime < 0.8*mean || ejectionTime > 1.2*mean {
+			t.Errorf("failure %d of the node ejects it for %v s, want about %v s", failure, ejectionTime, mean)
 		}
 		if failure < maxFailures {
 			mean *= 2
--- a/placer/rules_script_test.go
+++ b/placer/rules_script_test.go
@@ -321,7 +321,7 @@
 
 // listAllNodes terminates some nodes and sends a full node list without the terminated nodes.
 func (driver *randomDriver) listAllNodes() {
-	var all []Node
+	var listedNodes []Node
 	for _, id := range driver.nodeIDs {
 		node := driver.nodes[id]
 		if driver.rng.IntN(9) == 0 {
@@ -329,10 +329,10 @@
 			driver.nodes[id] = node
 		}
 		if node.State != Terminated {
-			all = append(all, node)
+			listedNodes = append(listedNodes, node)
 		}
 	}
-	driver.handleEvent(Event{Kind: NodesListed, List: FullList, Nodes: all})
+	driver.handleEvent(Event{Kind: NodesListed, List: FullList, Nodes: listedNodes})
 }
 
 // removeDoneTasks removes the tasks whose request is done and that have neither an outstanding nor a bound
@@ -357,7 +357,7 @@
 // one type restart. In the other half, a third of the nodes change their state: ready nodes start to drain,
 // and draining nodes terminate and are replaced by new nodes in slow start.
 func (driver *randomDriver) injectCorrelatedFault() {
-	var affected []Node
+	var affectedNodes []Node
 	nodeType, firstIndex := driver.rng.IntN(2), driver.rng.IntN(3)
 	restart := driver.rng.IntN(2) == 0
 	for i, id := range driver.nodeIDs {
@@ -373,12 +373,12 @@
 			replacement.ID, replacement.State, replacement.StartedAt = NodeID(len(driver.nodes)+1), Ready, driver.now
 			driver.nodes[replacement.ID] = replacement
 			driver.nodeIDs[i] = replacement.ID
-			affected = append(affected, replacement)
+			affectedNodes = append(affectedNodes, replacement)
 		default:
 			continue
 		}
 		driver.nodes[id] = node
-		affected = append(affected, node)
+		affectedNodes = append(affectedNodes, node)
 	}
-	driver.handleEvent(Event{Kind: NodesListed, List: Changes, Nodes: affected})
+	driver.handleEvent(Event{Kind: NodesListed, List: Changes, Nodes: affectedNodes})
 }
--- a/placer/rules_test.go
+++ b/placer/rules_test.go
@@ -73,8 +73,8 @@
 }
 
 func TestEqualEventsGiveEqualActions(t *testing.T) {
-	first, second := runRandomEvents(t, 5, 5000), runRandomEvents(t, 5, 5000)
-	if !reflect.DeepEqual(first, second) {
+	firstActions, secondActions := runRandomEvents(t, 5, 5000), runRandomEvents(t, 5, 5000)
+	if !reflect.DeepEqual(firstActions, secondActions) {
 		t.Fatal("two Placers returned different actions for the same seed and events, want equal actions")
 	}
 }
--- a/placer/selection.go
+++ b/placer/selection.go
@@ -63,9 +63,9 @@
 			}
 		}
 	}
-	drawn := s.drawPair(now, request, keepPreferred(candidates, (*candidate).belowSaturation))
-	drawn.ignoresCache = true
-	return drawn
+	drawnPair := s.drawPair(now, request, keepPreferred(candidates, (*candidate).belowSaturation))
+	drawnPair.ignoresCache = true
+	return drawnPair
 }
 
 // drawPair draws two nodes uniformly at random. It repeats the draw if both nodes exceed the contender limit.
--- a/placer/selection_test.go
+++ b/placer/selection_test.go
@@ -232,10 +232,10 @@
 			if got := candidateIDs(testSelector.programNodes(service, candidates)); !slices.Equal(got, test.want) {
 				t.Errorf("programNodes returned the nodes %v, want %v", got, test.want)
 			}
-			all := candidateIDs(candidates)
-			slices.Sort(all)
-			if !slices.Equal(all, []NodeID{1, 2, 3, 4, 5, 6}) {
-				t.Errorf("the slice of candidates contains the nodes %v after the call, want each of the nodes 1 to 6 once", all)
+			allIDs := candidateIDs(candidates)
+			slices.Sort(allIDs)
+			if !slices.Equal(allIDs, []NodeID{1, 2, 3, 4, 5, 6}) {
+				t.Errorf("the slice of candidates contains the nodes %v after the call, want each of the nodes 1 to 6 once", allIDs)
 			}
 		})
 	}
--- a/placer/simulation_tasks_test.go
+++ b/placer/simulation_tasks_test.go
@@ -90,11 +90,11 @@
 
 // resubmit requests a task again under a new task ID.
 func (sim *simulation) resubmit(task *simTask) {
-	resubmitted := task.placerTask
-	resubmitted.ID, resubmitted.IsRetry = sim.nextTask, true
-	resubmitted.Deadline = sim.now + 4
+	retryTask := task.placerTask
+	retryTask.ID, retryTask.IsRetry = sim.nextTask, true
+	retryTask.Deadline = sim.now + 4
 	sim.nextTask++
-	sim.sendRequest(resubmitted)
+	sim.sendRequest(retryTask)
 }
 
 // migrate stops a running task and requests it again, as the Migrate action specifies.
--- a/placer/slowstart_test.go
+++ b/placer/slowstart_test.go
@@ -42,12 +42,12 @@
 // maxCountInWindow returns the maximum number of the given times that lie within any window of the given
 // length. The times must be in ascending order.
 func maxCountInWindow(times []Seconds, window Seconds) int {
-	maxCount, first := 0, 0
+	maxCount, firstIndex := 0, 0
 	for i, at := range times {
-		for at-times[first] > window {
-			first++
+		for at-times[firstIndex] > window {
+			firstIndex++
 		}
-		maxCount = max(maxCount, i-first+1)
+		maxCount = max(maxCount, i-firstIndex+1)
 	}
 	return maxCount
 }
@@ -216,8 +216,8 @@
 				t.Errorf("allowsAttempt returned %v for the node, want %v", got, test.want)
 			}
 			rule.attemptSent(100, node)
-			if kept := node.slowStartAttempts; rule.appliesTo(100, node) && (kept[0] < 97.8 || kept[len(kept)-1] != 100) {
-				t.Errorf("the times of the recorded attempts are %v, want none before 97.8 and the last at 100", kept)
+			if keptTimes := node.slowStartAttempts; rule.appliesTo(100, node) && (keptTimes[0] < 97.8 || keptTimes[len(keptTimes)-1] != 100) {
+				t.Errorf("the times of the recorded attempts are %v, want none before 97.8 and the last at 100", keptTimes)
 			}
 		})
 	}
