--- a/placer/characterization_test.go
+++ b/placer/characterization_test.go
@@ -83,7 +83,7 @@
 	brokenNodes            int            // number of nodes that never start a task
 	lateOutcomeProbability float64        // probability that the outcome of an attempt arrives after the deadline
 	lowLoadAfterEvents     int            // number of events after which fewer tasks arrive; 0 means never
-	withdrawalProbability  float64        // amount by which the probability that a request is withdrawn exceeds 0.05
+	withdrawalProbability  float64        // amount by which the probability of an early withdrawal of a request exceeds 0.05
 	relistDelay            placer.Seconds // time until a removed node is in the node lists again; 0 means that it stays removed
 	extraMinUsageRatio     float64        // amount by which the lowest ratio of used to requested capacity exceeds 0.5
 	nodesStartedAt         placer.Seconds // start time of the initial nodes; 0 means long ago
