--- a/placer/capacity_test.go
+++ b/placer/capacity_test.go
@@ -27,14 +27,14 @@
 		changes  []capacityChange
 		want     freeCapacity
 	}{
-		"node list shows free capacity":                         {NodeBehavior{ListShowsCapacity: true}, nodeLoad{}, nil, freeCapacity{8, 16, true}},
-		"recent change is not in node list":                     {NodeBehavior{ListShowsCapacity: true}, nodeLoad{}, change(98), freeCapacity{6, 13, true}},
-		"old change is already in node list":                    {NodeBehavior{ListShowsCapacity: true}, nodeLoad{}, change(97.9), freeCapacity{8, 16, true}},
-		"load report shows free capacity":                       {NodeBehavior{}, report(97), nil, freeCapacity{4, 5, true}},
-		"recent change is not in load report":                   {NodeBehavior{}, report(97), change(99), freeCapacity{2, 2, true}},
-		"outdated load report is ignored":                       {NodeBehavior{}, report(96), change(99), freeCapacity{8, 16, false}},
-		"load report shows used, not requested capacity":        {NodeBehavior{ReportsUsage: true}, report(99), nil, freeCapacity{8, 16, false}},
-		"neither node list nor load report shows free capacity": {NodeBehavior{}, nodeLoad{}, nil, freeCapacity{8, 16, false}},
+		"node list shows free capacity":                             {NodeBehavior{ListShowsCapacity: true}, nodeLoad{}, nil, freeCapacity{8, 16, true}},
+		"node list does not show a recent change yet":               {NodeBehavior{ListShowsCapacity: true}, nodeLoad{}, change(98), freeCapacity{6, 13, true}},
+		"node list already shows an old change":                     {NodeBehavior{ListShowsCapacity: true}, nodeLoad{}, change(97.9), freeCapacity{8, 16, true}},
+		"load report shows free capacity":                           {NodeBehavior{}, report(97), nil, freeCapacity{4, 5, true}},
+		"load report does not show a recent change yet":             {NodeBehavior{}, report(97), change(99), freeCapacity{2, 2, true}},
+		"outdated load report is ignored":                           {NodeBehavior{}, report(96), change(99), freeCapacity{8, 16, false}},
+		"load report shows capacity in use, not requested capacity": {NodeBehavior{ReportsUsage: true}, report(99), nil, freeCapacity{8, 16, false}},
+		"neither node list nor load report shows free capacity":     {NodeBehavior{}, nodeLoad{}, nil, freeCapacity{8, 16, false}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			model := &capacityModel{behavior: test.behavior}
@@ -53,7 +53,7 @@
 
 func TestProjectedLoad(t *testing.T) {
 	const now = 100
-	reported := func(report Report) nodeLoad { return nodeLoad{hasReport: true, reportedAt: now, report: report} }
+	loadWithReport := func(report Report) nodeLoad { return nodeLoad{hasReport: true, reportedAt: now, report: report} }
 	notReported := math.NaN()
 	listOnly, listAndUsage := NodeBehavior{ListShowsCapacity: true}, NodeBehavior{ListShowsCapacity: true, ReportsUsage: true}
 	for name, test := range map[string]struct {
@@ -67,9 +67,9 @@
 		"utilization is estimated from requested cores": {listOnly, nodeLoad{}, Task{Cores: 4}, projection{true, 12.0/16 - 1.25}},
 		"requested cores exceed overcommit limit":       {listOnly, nodeLoad{}, Task{Cores: 25}, projection{false, 0}},
 		"requested memory exceeds overcommit limit":     {listOnly, nodeLoad{}, Task{Memory: 49}, projection{false, 0}},
-		"load report contains utilization":              {listOnly, reported(Report{notReported, notReported, 1.5, 0}), Task{Cores: 4}, projection{true, 28.0/16 - 1.25}},
-		"load report contains cores in use":             {listAndUsage, reported(Report{2, notReported, notReported, 0}), Task{Cores: 1}, projection{true, 15.0/16 - 1.25}},
-		"load report shows almost all memory in use":    {listAndUsage, reported(Report{notReported, 2, notReported, 0}), Task{Memory: 1}, projection{false, 8.0/16 - 1.25}},
+		"load report contains utilization":              {listOnly, loadWithReport(Report{notReported, notReported, 1.5, 0}), Task{Cores: 4}, projection{true, 28.0/16 - 1.25}},
+		"load report contains cores in use":             {listAndUsage, loadWithReport(Report{2, notReported, notReported, 0}), Task{Cores: 1}, projection{true, 15.0/16 - 1.25}},
+		"load report shows almost all memory in use":    {listAndUsage, loadWithReport(Report{notReported, 2, notReported, 0}), Task{Memory: 1}, projection{false, 8.0/16 - 1.25}},
 		"free capacity of the node is unknown":          {NodeBehavior{}, nodeLoad{saturationExcess: 7}, Task{Cores: 99}, projection{true, 7}},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -94,7 +94,7 @@
 		report                          Report
 		wantCoresRatio, wantMemoryRatio float64 // ratios of used to requested capacity that the model must learn
 	}{
-		"report contains only utilization":              {8, Report{math.NaN(), math.NaN(), 0.25, 0}, 0.5, 1},
+		"report contains only utilization of cores":     {8, Report{math.NaN(), math.NaN(), 0.25, 0}, 0.5, 1},
 		"report contains free cores and memory":         {8, Report{12, 28, math.NaN(), 0}, 0.5, 0.25},
 		"requested capacity is too small to learn from": {15, Report{16, 32, 0, 0}, 1, 1},
 		"report contains no values":                     {8, Report{math.NaN(), math.NaN(), math.NaN(), 0}, 1, 1},
@@ -113,7 +113,7 @@
 				t.Errorf("the learned ratio of used to requested memory is %v, want %v", got, test.wantMemoryRatio)
 			}
 			if !node.load.hasReport || node.load.reportedAt != now {
-				t.Error("the load report of the node was not recorded, or not with the time of its arrival")
+				t.Error("the load report of the node was not recorded or has a wrong time, want it recorded with the time at which it arrived")
 			}
 		})
 	}
@@ -133,11 +133,11 @@
 		t.Fatalf("after a node accepted one of two attempts, the load record contains %+v, want one entry for the pending attempt and one for the bound task", load.recentChanges)
 	}
 	load.taskEnded(102, &request.Task)
-	if last := load.recentChanges[2]; last.cores != -2 || last.memory != -3 || last.isBoundTask {
-		t.Fatalf("after the end of the task, the last entry of the load record is %+v, want an entry with -2 cores and -3 units of memory that is not for a bound task", last)
+	if lastChange := load.recentChanges[2]; lastChange.cores != -2 || lastChange.memory != -3 || lastChange.isBoundTask {
+		t.Fatalf("after the end of the task, the last entry of the load record is %+v, want an entry with -2 cores and -3 units of memory that is not for a bound task", lastChange)
 	}
 	if load.countRecentlyBoundTasks(103.1) != 0 || load.retainedBoundTasks != 1 {
-		t.Error("after the contender window and before dropOldChanges is called, want the task not to count as recent, but its entry to be retained")
+		t.Error("after the contender window of 2 s and before a call of dropOldChanges, the bound task still counts as recently accepted, or its entry was removed; want it not to count as recently accepted, and its entry to be retained")
 	}
 	load.dropOldChanges(103.1)
 	if load.retainedBoundTasks != 0 || len(load.recentChanges) != 1 {
--- a/placer/node_tasks.go
+++ b/placer/node_tasks.go
@@ -18,8 +18,8 @@
 }
 
 // hasProgram reports whether the node probably has the program of a service in its cache. The result is true
-// if a task of the service runs or is attempted on the node, or ran there recently. Tasks of other schedulers
-// do not count.
+// if a task of the service runs or is attempted on the node, or ran there recently. Only tasks of this
+// scheduler are taken into account.
 func (n *nodeTasks) hasProgram(service ServiceID) bool {
 	return n.countByService[service] > 0 || slices.Contains(n.cachedPrograms, service)
 }
--- a/placer/placer.go
+++ b/placer/placer.go
@@ -7,8 +7,8 @@
 
 // Placer makes the placement decisions of one scheduler. It passes each event to its components, which hold
 // the state and make the decisions. The fields of a component are changed only by its own methods. All
-// decisions and tunable constants are in the policy files, which the policy list in deploy/balancer.toml
-// names.
+// decisions and tunable constants are in some of the source files, which are called policy files. The file
+// deploy/balancer.toml lists them under the key policy.
 //
 // A request is placed as in the k-COLLISION protocol. The Placer filters the nodes and draws two of them
 // uniformly at random. It skips nodes with too many contenders. The contenders on a node are the unanswered
--- a/placer/rules_script_test.go
+++ b/placer/rules_script_test.go
@@ -45,8 +45,8 @@
 type taskState struct {
 	Task
 	attempts []*driverAttempt
-	done     bool
-	answers  int // number of final answers that the client received
+	done     bool // the request was answered, placed or withdrawn
+	answers  int  // number of final answers that the client received
 }
 
 func (driver *randomDriver) handleEvent(event Event) {
@@ -74,7 +74,7 @@
 	}
 	task := driver.tasks[action.Task]
 	if task == nil {
-		driver.failOnAction(action, "the action is for a task that was never requested or found running")
+		driver.failOnAction(action, "the action is for a task that was neither requested nor found running")
 	}
 	if action.Kind == Migrate {
 		if len(task.attempts) == 0 || !task.attempts[len(task.attempts)-1].bound {
@@ -155,7 +155,7 @@
 		}
 	}
 	if float64(attemptCount) > math.Ceil(driver.config.SlowStart.MaxAttempts/float64(driver.config.Peers.Total)) {
-		driver.failOnAction(action, "the slow-start rule is violated, because this scheduler made %d attempts on the node within the overload window, which exceeds its share", attemptCount)
+		driver.failOnAction(action, "the slow-start rule is violated, because this scheduler made %d attempts on the node within the time OverloadWindow, which is more than the share of the scheduler", attemptCount)
 	}
 	driver.slowStartAttempts[node.ID] = append(driver.slowStartAttempts[node.ID], driver.now)
 }
@@ -175,7 +175,7 @@
 		}
 	}
 	if taskCount > class.MaxPerDomain {
-		driver.failOnAction(action, "the spread rule is violated, because the failure domain of the node would have %d tasks of the service, which exceeds MaxPerDomain", taskCount)
+		driver.failOnAction(action, "the spread rule is violated, because the failure domain of the node would have %d tasks of the service, which is more than MaxPerDomain permits", taskCount)
 	}
 }
 
@@ -321,7 +321,7 @@
 
 // listAllNodes terminates some nodes and sends a full node list without the terminated nodes.
 func (driver *randomDriver) listAllNodes() {
-	var all []Node
+	var listedNodes []Node
 	for _, id := range driver.nodeIDs {
 		node := driver.nodes[id]
 		if driver.rng.IntN(9) == 0 {
@@ -329,10 +329,10 @@
 			driver.nodes[id] = node
 		}
 		if node.State != Terminated {
-			all = append(all, node)
+			listedNodes = append(listedNodes, node)
 		}
 	}
-	driver.handleEvent(Event{Kind: NodesListed, List: FullList, Nodes: all})
+	driver.handleEvent(Event{Kind: NodesListed, List: FullList, Nodes: listedNodes})
 }
 
 // removeDoneTasks removes the tasks whose request is done and that have neither an outstanding nor a bound
@@ -357,7 +357,7 @@
 // one type restart. In the other half, a third of the nodes change their state: ready nodes start to drain,
 // and draining nodes terminate and are replaced by new nodes in slow start.
 func (driver *randomDriver) injectCorrelatedFault() {
-	var affected []Node
+	var affectedNodes []Node
 	nodeType, firstIndex := driver.rng.IntN(2), driver.rng.IntN(3)
 	restart := driver.rng.IntN(2) == 0
 	for i, id := range driver.nodeIDs {
@@ -373,12 +373,12 @@
 			replacement.ID, replacement.State, replacement.StartedAt = NodeID(len(driver.nodes)+1), Ready, driver.now
 			driver.nodes[replacement.ID] = replacement
 			driver.nodeIDs[i] = replacement.ID
-			affected = append(affected, replacement)
+			affectedNodes = append(affectedNodes, replacement)
 		default:
 			continue
 		}
 		driver.nodes[id] = node
-		affected = append(affected, node)
+		affectedNodes = append(affectedNodes, node)
 	}
-	driver.handleEvent(Event{Kind: NodesListed, List: Changes, Nodes: affected})
+	driver.handleEvent(Event{Kind: NodesListed, List: Changes, Nodes: affectedNodes})
 }
--- a/placer/rules_test.go
+++ b/placer/rules_test.go
@@ -36,7 +36,7 @@
 		driver.step(i)
 	}
 	if requestCount := len(driver.placer.requests.byID); requestCount > len(driver.taskOrder)+1 {
-		t.Fatalf("the Placer still keeps %d requests, but only %d tasks are left, want at most one request more than tasks", requestCount, len(driver.taskOrder))
+		t.Fatalf("the Placer still keeps %d requests, but the test driver has only %d tasks left, want at most one request more than tasks", requestCount, len(driver.taskOrder))
 	}
 	return driver.actionLog
 }
@@ -73,8 +73,8 @@
 }
 
 func TestEqualEventsGiveEqualActions(t *testing.T) {
-	first, second := runRandomEvents(t, 5, 5000), runRandomEvents(t, 5, 5000)
-	if !reflect.DeepEqual(first, second) {
+	firstActions, secondActions := runRandomEvents(t, 5, 5000), runRandomEvents(t, 5, 5000)
+	if !reflect.DeepEqual(firstActions, secondActions) {
 		t.Fatal("two Placers returned different actions for the same seed and events, want equal actions")
 	}
 }
--- a/placer/selection.go
+++ b/placer/selection.go
@@ -17,8 +17,8 @@
 	// preferredNodeCount is the number of nodes that are chosen by hash for a service whose tasks arrive at
 	// many schedulers.
 	preferredNodeCount = 2
-	// maxCachedPrograms is the number of programs that a node is assumed to keep in its cache although no
-	// task that runs them is left on the node.
+	// maxCachedPrograms is the number of programs that a node is assumed to keep in its cache after all tasks
+	// that ran them on the node have ended.
 	maxCachedPrograms = 8
 	// randomStream is the second half of the seed of the random number generator. The first half is the seed
 	// that the caller of New passes.
@@ -63,9 +63,9 @@
 			}
 		}
 	}
-	drawn := s.drawPair(now, request, keepPreferred(candidates, (*candidate).belowSaturation))
-	drawn.ignoresCache = true
-	return drawn
+	drawnPair := s.drawPair(now, request, keepPreferred(candidates, (*candidate).belowSaturation))
+	drawnPair.ignoresCache = true
+	return drawnPair
 }
 
 // drawPair draws two nodes uniformly at random. It repeats the draw if both nodes exceed the contender limit.
@@ -111,15 +111,16 @@
 	return candidates[i].node, candidates[j].node
 }
 
-// contenderLimit returns the limit k of the k-COLLISION protocol, which is contenderFactor times the number
-// of pending requests per candidate, but at least 1. A request is pending if it has no final answer yet, or
-// if a node has accepted its task recently.
+// contenderLimit returns the maximum number of contenders on a node, which is the limit k of the k-COLLISION
+// protocol. It is contenderFactor times the number of pending requests per candidate, but at least 1. A
+// request is pending if it has no final answer yet, or if a node has accepted its task recently.
 func (s *selector) contenderLimit(candidateCount int) float64 {
 	pendingRequests := s.requests.unansweredRequests
 	for _, node := range s.nodes.allNodes {
-		// An accepted task counts until dropOldChanges removes it from the load record of its node. The
-		// filter calls dropOldChanges only for nodes that pass its other checks. On the remaining nodes, a
-		// task may count for longer than contenderWindow.
+		// The number retainedBoundTasks includes an accepted task until dropOldChanges removes the task from
+		// the load record of its node. The filter calls dropOldChanges only for nodes that pass its other
+		// checks. On the remaining nodes, a task may count as a pending request for longer than
+		// contenderWindow.
 		pendingRequests += node.load.retainedBoundTasks
 	}
 	return max(1, contenderFactor*float64(pendingRequests)/float64(candidateCount))
--- a/placer/slowstart.go
+++ b/placer/slowstart.go
@@ -21,7 +21,8 @@
 // attempts that it made before the restart.
 func (s *slowStart) schedulerStarted(now Seconds) { s.startedAt = now }
 
-// appliesTo reports whether a node is in slow start, which means that the rule limits the attempts on it.
+// appliesTo reports whether a node is in slow start. Only then does the slow-start rule limit the attempts on
+// it.
 func (s *slowStart) appliesTo(now Seconds, node *trackedNode) bool {
 	return node.StartedAt > 0 && now-node.StartedAt < s.limits.Duration
 }
@@ -39,7 +40,7 @@
 // allowsAttempt reports whether this scheduler may make one more attempt on the node within its share. A
 // scheduler does not know the attempts that it made before a restart. On nodes that were already in slow
 // start at the restart, it makes no attempts for the length of the counting window. After this time, the
-// attempts from before the restart no longer count.
+// attempts from before the restart are outside the counting window.
 func (s *slowStart) allowsAttempt(now Seconds, node *trackedNode) bool {
 	if !s.appliesTo(now, node) {
 		return true
@@ -64,12 +65,12 @@
 	return len(node.slowStartAttempts) - oldCount
 }
 
-// attemptShare returns the number of attempts that this scheduler may make on a node in slow start within the
-// overload window. The shares of all schedulers add up to MaxAttempts. The node is therefore not overloaded
-// even if most tasks arrive at one scheduler, because this scheduler cannot exceed its own share. If
-// MaxAttempts is not divisible by the number of schedulers, some schedulers may make one more attempt than
-// others. The node ID determines which schedulers these are. Even if MaxAttempts is less than the number of
-// schedulers, each scheduler can thus use some of the nodes in slow start.
+// attemptShare returns the number of attempts that this scheduler may make on a node in slow start within
+// OverloadWindow. The shares of all schedulers add up to MaxAttempts. Even if most tasks arrive at one
+// scheduler, the node is not overloaded, because this scheduler cannot exceed its own share. If MaxAttempts
+// is not divisible by the number of schedulers, some schedulers may make one more attempt than others. The
+// node ID determines which schedulers these are. Each scheduler can thus use some of the nodes in slow start,
+// even if MaxAttempts is less than the number of schedulers.
 func (s *slowStart) attemptShare(node *trackedNode) float64 {
 	maxAttempts, schedulerCount := max(s.limits.MaxAttempts, 0), float64(s.peers.Total)
 	share := math.Floor(maxAttempts / schedulerCount)
