--- a/internal/platform/dispatch/adoption.go
+++ b/internal/platform/dispatch/adoption.go
@@ -6,11 +6,11 @@
 )
 
 const (
-	// adoptionMaxWait limits how long new placement requests wait for adoption requests. The limit counts
-	// from the first health check of any client.
+	// adoptionMaxWait limits how long new placement requests wait for adoption requests. The waiting time
+	// is counted from the first health check of any client.
 	adoptionMaxWait placer.Seconds = 1.0
-	// adoptionIdleGap is the waiting time after an adoption request. If no other adoption request arrives
-	// within this time, no further adoption requests are expected.
+	// adoptionIdleGap is how long the core waits for the next adoption request. If this time passes without
+	// an adoption request, the core stops waiting.
 	adoptionIdleGap placer.Seconds = 0.05
 )
 
@@ -25,7 +25,7 @@
 	earlyTerminations *earlyTerminationLog
 	notifier          *notifier
 
-	firstHealthCheckAt placer.Seconds // firstHealthCheckAt is 0 until any client has sent a health check.
+	firstHealthCheckAt placer.Seconds // firstHealthCheckAt is 0 until a client has sent a health check.
 	// lastAdoptionRequestAt is the arrival time of the last adoption request. Before the first adoption
 	// request, it is equal to firstHealthCheckAt.
 	lastAdoptionRequestAt placer.Seconds
@@ -75,10 +75,10 @@
 }
 
 // postArrival passes a new placement request to the placer as soon as no more adoption requests are expected,
-// but at the latest at the deadline of the placement request. After a scheduler start, a client requests the
-// adoption of hundreds of running tasks on one connection while new placement requests arrive on other
-// connections. A placer that does not know all running tasks yet would place a new task without regard to the
-// other tasks of the same service.
+// but at the latest at the deadline of the placement request. After a scheduler start, a client sends adoption
+// requests for hundreds of running tasks on one client connection, while new placement requests arrive on
+// other client connections. Until the placer knows all running tasks, it would place a new task without regard
+// to the unknown tasks of the same service.
 func (a *adoption) postArrival(req *request, task placer.Task) {
 	waitUntil := min(a.adoptionsExpectedUntil(), req.deadline)
 	if a.now >= waitUntil {
--- a/internal/platform/dispatch/adoption_test.go
+++ b/internal/platform/dispatch/adoption_test.go
@@ -25,7 +25,7 @@
 }
 
 // TestRequestsWaitForAdoptions checks when new requests reach the placer. While a client requests the
-// adoption of its running tasks, a new request must wait until the last adoption, but not longer than
+// adoption of its running tasks, a new request must wait until the last adoption request, but not longer than
 // adoptionMaxWait after the first health check. At other times, a new request must reach the placer
 // immediately.
 func TestRequestsWaitForAdoptions(t *testing.T) {
@@ -43,12 +43,12 @@
 	harness.sendLaunch(conn, "query", 2000, "")
 	harness.advanceClock(adoptionIdleGap)
 	if got := takeArrivalOrder(policy); got != "aaaaaRR" {
-		t.Errorf("placer received events %q, want 5 adopted tasks (a) before the 2 new requests (R) that were not withdrawn", got)
+		t.Errorf("order in which the placer received tasks is %q, want \"aaaaaRR\": 5 adopted tasks (a), then the 2 new requests (R) that were not withdrawn", got)
 	}
 
 	harness.sendLaunch(conn, "query", 2000, "")
 	if got := takeArrivalOrder(policy); got != "R" {
-		t.Errorf("placer received events %q, want the new request (R) immediately, since no adoption requests are expected", got)
+		t.Errorf("order in which the placer received tasks is %q, want \"R\": the new request (R) at once, since no adoption requests are expected", got)
 	}
 
 	harness.sendLaunch(conn, "query", 3000, "")
@@ -62,7 +62,7 @@
 		harness.advanceClock(adoptionIdleGap / 2)
 	}
 	if got := takeArrivalOrder(policy); !strings.HasSuffix(got, "aRaR") || strings.Index(got, "R") > 6 {
-		t.Errorf("placer received events %q, want the first new request (R) among the first 7 events because of its short deadline, and aRaR at the end, which means adopted tasks (a) and new requests in turn", got)
+		t.Errorf("order in which the placer received tasks is %q, where a is an adopted task and R is a new request; want an R among the first 7 letters, because one request has a short deadline; want the last 4 letters to be aRaR, because requests do not wait longer than adoptionMaxWait", got)
 	}
 }
 
@@ -73,7 +73,7 @@
 	conn := harness.connect()
 	id := harness.requestAdoption(conn, 2)
 	if harness.core.RunningTasks() != 1 || harness.core.OpenRequests() != 0 {
-		t.Fatal("the task was not adopted when its client requested the adoption")
+		t.Fatal("after the adoption request, the numbers of running tasks and open requests in the core are wrong; want 1 running task and 0 open requests")
 	}
 
 	record := harness.clientRecords[id]
@@ -81,13 +81,13 @@
 	harness.requestAdoption(conn, 2) // The client requests the adoption of the same task again.
 	harness.clientRecords[id] = record
 	if harness.core.RunningTasks() != 1 {
-		t.Fatal("the task was adopted again when its client requested the adoption a second time")
+		t.Fatal("after a second adoption request for the same task, the number of running tasks in the core is wrong; want 1 running task")
 	}
 
 	harness.reportEnd(nodeID(2), id, protocol.CauseEnd)
 	harness.carryOutEffects()
 	if record.notificationCount != 1 || harness.core.RunningTasks() != 0 {
-		t.Fatalf("client record is %+v after the end of the adopted task, want notificationCount 1, and no running task in the core", record)
+		t.Fatalf("after the end of the adopted task, the client record is %+v; want notificationCount 1 in the record and no running task in the core", record)
 	}
 }
 
@@ -122,7 +122,7 @@
 			}
 
 			if got := adopter.adoptionsExpectedUntil(); got != test.want {
-				t.Errorf("adoption requests are expected until time %v, want %v", got, test.want)
+				t.Errorf("adoptionsExpectedUntil returned time %v, want time %v", got, test.want)
 			}
 		})
 	}
--- a/internal/platform/dispatch/attempt.go
+++ b/internal/platform/dispatch/attempt.go
@@ -24,8 +24,8 @@
 	number       int // number is the index of the attempt in request.attempts.
 	state        attemptState
 	expiresAt    placer.Seconds // expiresAt is the time at which an unanswered attempt is abandoned.
-	createdAt    placer.Seconds // createdAt is when the placer requested the attempt or the task was adopted.
-	runningSince placer.Seconds // runningSince is when the node's acceptance arrived or the task was adopted.
+	createdAt    placer.Seconds // createdAt is when the placer requested the attempt or when the task was adopted.
+	runningSince placer.Seconds // runningSince is when the node's acceptance arrived or when the task was adopted.
 	timer        *timerqueue.Timer[placer.Seconds]
 	stopSent     bool // stopSent is set if the node was asked to stop the task.
 }
@@ -39,7 +39,7 @@
 // Pending reports whether the attempt has not been sent yet.
 func (a *Attempt) Pending() bool { return a.state == attemptPending }
 
-// Age returns the time since the placer requested the attempt or the task was adopted.
+// Age returns the time since the placer requested the attempt or, for an adopted task, since the adoption.
 func (a *Attempt) Age(now placer.Seconds) placer.Seconds { return now - a.createdAt }
 
 // Unanswered reports whether the attempt waits for a connection to its node or for the node's answer.
--- a/internal/platform/dispatch/attempt_table.go
+++ b/internal/platform/dispatch/attempt_table.go
@@ -25,11 +25,12 @@
 	return &attemptTable{sharedState: shared, nodes: nodes, byKey: map[attemptKey]*Attempt{}}
 }
 
-// get returns the attempt with the given key, or nil if the table does not contain it.
+// get returns the attempt with the given key, or nil if the table contains no such attempt.
 func (t *attemptTable) get(key attemptKey) *Attempt { return t.byKey[key] }
 
 // start carries out a StartAttempt action of the placer: it creates an attempt and adds the effect that sends
-// the attempt. If the attempt must not be sent, start reports to the placer that the attempt has expired.
+// the attempt. If the attempt must not be sent, the placer receives an event that reports the attempt as
+// expired.
 func (t *attemptTable) start(req *request, action *placer.Action) {
 	attempt := &Attempt{
 		Node:      action.Node,
@@ -115,7 +116,7 @@
 	t.endUnsent(attempt, placer.Unreachable)
 }
 
-// handleConnectionLoss abandons an attempt if its connection to the node closed before the answer arrived.
+// handleConnectionLoss abandons an attempt if its connection to the node closed before the node answered.
 func (t *attemptTable) handleConnectionLoss(attempt *Attempt) {
 	if attempt.state != attemptSent {
 		return
@@ -153,7 +154,7 @@
 
 // abandon ends an unanswered attempt. If the attempt was sent, the node receives a Stop message, and an
 // answer that arrives afterwards is treated as late. The parameter timedOut is set if the expiry timer of the
-// attempt has run.
+// attempt has fired.
 func (t *attemptTable) abandon(attempt *Attempt, result placer.Result, timedOut bool) {
 	if attempt.state == attemptPending {
 		t.endUnsent(attempt, placer.Expired)
@@ -179,7 +180,7 @@
 	})
 }
 
-// retainAbandoned sets a timer that removes an abandoned attempt. When the timer runs, the node is no longer
+// retainAbandoned sets a timer that removes an abandoned attempt. When the timer fires, the node is no longer
 // expected to send messages about the attempt.
 func (t *attemptTable) retainAbandoned(attempt *Attempt) {
 	t.timers.Stop(attempt.timer)
@@ -192,8 +193,8 @@
 	attempt.timer = t.timers.Add(at, run)
 }
 
-// remove removes an attempt from the table. The node is not expected to send further messages about the
-// attempt.
+// remove removes an attempt from the table. It is called when no further messages of the node about the
+// attempt are expected.
 func (t *attemptTable) remove(attempt *Attempt) {
 	t.timers.Stop(attempt.timer)
 	if key := attempt.key(); t.byKey[key] == attempt {
--- a/internal/platform/dispatch/attempt_test.go
+++ b/internal/platform/dispatch/attempt_test.go
@@ -32,7 +32,7 @@
 			effects := harness.acceptAttempt(attempt)
 
 			if stopRequested := asksNodeToStop(effects); stopRequested != test.wantStop || harness.core.RunningTasks() != 0 {
-				t.Errorf("after the Running message for the abandoned attempt, the core asked the node to stop the task: %v, want %v; the core must also count no task as running", stopRequested, test.wantStop)
+				t.Errorf("after the Running message for the abandoned attempt, the core sent a Stop message to the node: got %v, want %v; also want 0 running tasks in the core", stopRequested, test.wantStop)
 			}
 		})
 	}
@@ -68,11 +68,11 @@
 			clientNotified := len(clientMessages) == 1 && clientMessages[0].Message.Cause == protocol.CauseLost
 			boundReported := policy.receivedEvent(placer.Bound)
 			if clientNotified != test.wantEnded || boundReported != test.wantEnded || policy.lastEvent().Final != test.wantEnded || record.answerCount != 1 {
-				t.Errorf("clients received messages %+v, the placer received a Bound event: %v, the last event of the placer is %+v; for a task that counts as ended, want one message with CauseLost, a Bound event, and Final set in the last event; otherwise, want one message with another cause, no Bound event, and Final not set", clientMessages, boundReported, policy.lastEvent())
+				t.Errorf("got messages to clients %+v, got a Bound event at the placer: %v, got last event at the placer %+v; for a task that counts as ended, want one message with CauseLost, a Bound event, and Final set in the last event; for any other task, want one message with another cause, no Bound event, and Final not set in the last event", clientMessages, boundReported, policy.lastEvent())
 			}
 			harness.acceptAttempt(attempt)
 			if harness.core.RunningTasks() != 0 || record.answerCount != 1 {
-				t.Error("after a late Running message for the ended attempt, the core counts the task as running or has sent a second answer to the client")
+				t.Error("after a late Running message for the ended attempt, the core has a running task or has sent a second answer to the client; want no running task and no second answer")
 			}
 		})
 	}
@@ -87,7 +87,7 @@
 		node      int
 		until     placer.Seconds
 		change    func(req *request)
-		expiresAt placer.Seconds // expiresAt is 0 if the attempt must not be sent.
+		expiresAt placer.Seconds // expiresAt is the wanted expiry time, or 0 if the attempt must not be sent.
 	}{
 		{"placer gives no expiry time", 1, 0, func(*request) {}, 110},
 		{"placer gives an expiry time before the deadline of the request", 1, 105, func(*request) {}, 105},
@@ -112,13 +112,13 @@
 			attempt := req.lastAttempt()
 			if test.expiresAt == 0 {
 				if attempt.state != attemptAbandoned || len(shared.effects) != 0 || len(table.byKey) != 0 {
-					t.Errorf("attempt that must not be sent is in state %v, and the core added effects %+v; want state abandoned, no effects, and no entry in the attempt table", attempt.state, shared.effects)
+					t.Errorf("for an attempt that must not be sent, got state %v and effects %+v; want state abandoned, no effects, and no entry in the attempt table", attempt.state, shared.effects)
 				}
 				return
 			}
 			sendRequested := len(shared.effects) == 1 && shared.effects[0].Kind == SendAttempt && table.get(attempt.key()) == attempt
 			if attempt.state != attemptPending || !sendRequested || attempt.expiresAt != test.expiresAt || shared.timers.NextTimeOr(0) != test.expiresAt {
-				t.Errorf("attempt is in state %v and expires at time %v, and the core added effects %+v; want state pending, the expiry time of the test case, one SendAttempt effect, a timer for the expiry, and an entry in the attempt table", attempt.state, attempt.expiresAt, shared.effects)
+				t.Errorf("got attempt in state %v with expiry time %v, and effects %+v; want state pending, expiry time 105 if the placer gives time 105 and otherwise the deadline 110, one SendAttempt effect, a timer for the expiry time, and an entry in the attempt table", attempt.state, attempt.expiresAt, shared.effects)
 			}
 		})
 	}
--- a/internal/platform/dispatch/characterization_directed_test.go
+++ b/internal/platform/dispatch/characterization_directed_test.go
@@ -27,7 +27,7 @@
 		recorder.deliverEventWithAllNodes("in_service", 0)
 		recorder.requestAdoptions(24, 1)
 		recorder.recordCheckpoint(1)
-		recorder.deliverEventWithAllNodes("in_service", 1010_000) // All nodes start new incarnations, which ends the running tasks.
+		recorder.deliverEventWithAllNodes("in_service", 1010_000) // All nodes start new incarnations. This ends the running tasks.
 		recorder.recordCheckpoint(2)
 		recorder.requestAdoptions(24, 101)
 		recorder.deliverEventWithAllNodes("terminated", 0)
@@ -94,14 +94,14 @@
 	recorder.digestEffectsAndState(0)
 }
 
-// advanceInOneCall advances the clock by the given duration and then runs all due timers in one call.
+// advanceInOneCall advances the clock by the given duration and then fires all due timers in one call of Advance.
 func (recorder *scriptRecorder) advanceInOneCall(duration placer.Seconds, step int) {
 	recorder.now += duration
 	recorder.core.Advance(recorder.now)
 	recorder.digestEffectsAndState(step)
 }
 
-// requestAdoptions makes a client request the adoption of running tasks. The task IDs start at firstID, and
+// requestAdoptions sends adoption requests of a client for running tasks. The task IDs start at firstID, and
 // the tasks are distributed evenly over the nodes.
 func (recorder *scriptRecorder) requestAdoptions(count int, firstID uint64) {
 	for i := range count {
@@ -174,7 +174,7 @@
 	return recorder.recordedLines
 }
 
-// runNewIncarnation makes a client request the adoption of a task, and then starts a new incarnation of the
+// runNewIncarnation sends an adoption request of a client for a task, and then starts a new incarnation of the
 // node of that task. The variants differ in the start time of the new incarnation, which ranges from the time
 // of the adoption to shortly after incarnationTolerance has passed.
 func runNewIncarnation(t *testing.T) []string {
@@ -182,8 +182,8 @@
 	// restartDelaysMS contains the time from the adoption to the new incarnation, for each variant.
 	restartDelaysMS := []int64{0, 990, 999, 1000, 1001, 1005, 1010, 1100}
 	start := func(variant int) *scriptRecorder {
-		// The golden file uses the word "life" for an incarnation. The number in the label is the delay in
-		// milliseconds.
+		// The word "life" in the golden file means an incarnation. The number in the label is the time from the
+		// adoption to the new incarnation, in milliseconds.
 		label := fmt.Sprintf("new life after %d", restartDelaysMS[variant])
 		return scenarioSetup{seed: 400, label: label, connections: 1}.start(t)
 	}
@@ -205,7 +205,7 @@
 }
 
 // runLateStart sends an attempt just before, at or just after the expiry time of the attempt. The expiry
-// timer of the attempt has not run yet.
+// timer of the attempt has not fired yet.
 func runLateStart(t *testing.T) []string {
 	t.Helper()
 	start := func(variant int) *scriptRecorder {
@@ -222,7 +222,7 @@
 }
 
 // runLateAnswer sends an attempt and makes the node accept the attempt close to its expiry time. The expiry
-// timer of the attempt has not run yet. In half of the variants, the connection to the node is lost before
+// timer of the attempt has not fired yet. In half of the variants, the connection to the node is lost before
 // the node accepts the attempt. At the end, the client requests the adoption of the task.
 func runLateAnswer(t *testing.T) []string {
 	t.Helper()
--- a/internal/platform/dispatch/characterization_script_test.go
+++ b/internal/platform/dispatch/characterization_script_test.go
@@ -225,8 +225,8 @@
 	recorder.core.ReceiveFromNode(recorder.now, attempt.Node, msg)
 }
 
-// acceptSentAttempt makes a node accept a random attempt that was sent to the node. The attempt may have
-// ended.
+// acceptSentAttempt makes a node accept a random attempt that was sent to the node. The attempt may already
+// have ended.
 func (recorder *scriptRecorder) acceptSentAttempt() {
 	choices := recorder.sentAttempts
 	unansweredAttempts := slices.DeleteFunc(slices.Clone(recorder.sentAttempts), func(attempt *dispatch.Attempt) bool { return !attempt.Unanswered() })
@@ -345,8 +345,8 @@
 	return list
 }
 
-// advanceClock advances the clock by the given duration. It usually runs each timer at the time for which the
-// timer is set. Sometimes it runs all due timers at the end of the duration instead.
+// advanceClock advances the clock by the given duration. It usually fires each timer at the time for which the
+// timer is set. Sometimes it fires all due timers at the end of the duration instead.
 func (recorder *scriptRecorder) advanceClock(duration placer.Seconds) {
 	endTime := recorder.now + duration
 	if recorder.random.IntN(5) == 0 {
--- a/internal/platform/dispatch/client_message.go
+++ b/internal/platform/dispatch/client_message.go
@@ -25,7 +25,7 @@
 	return nil
 }
 
-// handle calls the handler for the kind of the message. It ignores messages of kinds that only nodes send.
+// handle passes a message to the handler for its kind. It ignores messages of kinds that only nodes send.
 func (h *clientMessageHandler) handle(client *clientConn, msg *protocol.Message) error {
 	switch msg.Kind {
 	case protocol.Check:
@@ -85,7 +85,8 @@
 	return invalidMessage(InvalidIDInUse, "launch message %s has the same ID as an existing request", msg.UID)
 }
 
-// handleStop handles a Stop message, with which a client withdraws an open request or stops a running task.
+// handleStop handles a Stop message. A client sends a Stop message to withdraw an open request or to stop a
+// running task.
 func (h *clientMessageHandler) handleStop(client *clientConn, msg *protocol.Message) error {
 	req := h.requests.getByID(msg.ID)
 	if req == nil {
--- a/internal/platform/dispatch/client_registry.go
+++ b/internal/platform/dispatch/client_registry.go
@@ -20,7 +20,7 @@
 	// It is 0 if there is no such task.
 	lastPlacedAt       placer.Seconds
 	lastValidMessageAt placer.Seconds // lastValidMessageAt is 0 until a valid message has arrived.
-	notifications      deliveryLog    // Only notifier writes the log of the notifications on this connection.
+	notifications      deliveryLog    // Only notifier writes this log of notifications.
 }
 
 // hasSentValidMessage reports whether a valid message has arrived on the connection.
@@ -143,7 +143,8 @@
 	return mostRecentlyUsed
 }
 
-// isOnlyClient reports whether a connection is the only open one on which a valid message has arrived.
+// isOnlyClient reports whether a connection is the only open connection on which a valid message has
+// arrived.
 func (r *clientRegistry) isOnlyClient(id ConnID) bool {
 	conn := r.conns[id]
 	if conn == nil || !conn.hasSentValidMessage() {
--- a/internal/platform/dispatch/client_registry_test.go
+++ b/internal/platform/dispatch/client_registry_test.go
@@ -11,7 +11,7 @@
 		conns         []clientConn // conns contains the open connections. Their IDs are 1, 2 and so on.
 		preferredConn ConnID
 		wantConn      ConnID // wantConn is 0 if no connection is selected.
-		onlyClient    ConnID // onlyClient is 0 unless a valid message arrived on exactly one connection.
+		onlyClient    ConnID // onlyClient is the only connection with a valid message, or 0 if there is none.
 	}{
 		{"no connection is open", nil, 1, 0, 0},
 		{"no valid message has arrived on any connection", []clientConn{connWithoutValidMessage, connWithoutValidMessage}, 9, 0, 0},
@@ -34,11 +34,11 @@
 			}
 
 			if selectedConn != test.wantConn {
-				t.Errorf("selectConn returned connection %d, want %d (0 means no connection)", selectedConn, test.wantConn)
+				t.Errorf("selectConn returned connection %d, want connection %d (0 means no connection)", selectedConn, test.wantConn)
 			}
 			for id := ConnID(0); id <= ConnID(len(test.conns)); id++ {
 				if isOnlyClient := registry.isOnlyClient(id); isOnlyClient != (id == test.onlyClient && id != 0) {
-					t.Errorf("isOnlyClient returned %v for client connection %d, want true only for the one connection on which a valid message arrived", isOnlyClient, id)
+					t.Errorf("isOnlyClient returned %v for client connection %d; want true if and only if it is the only connection on which a valid message arrived", isOnlyClient, id)
 				}
 			}
 		})
--- a/internal/platform/dispatch/core.go
+++ b/internal/platform/dispatch/core.go
@@ -60,7 +60,7 @@
 
 // New returns a core whose node registry contains the nodes from initialEvents. The parameter initialEvents
 // contains the discovery events from before the scheduler start. It is the JSON value of the key "known" in
-// the configuration of the platform, or empty. If initialEvents is invalid, the returned error names the
+// the configuration of the platform, or is empty. If initialEvents is invalid, the returned error names the
 // invalid part.
 func New(now placer.Seconds, settings *simconfig.Settings, policy eventqueue.Placer, initialEvents []byte) (*Core, error) {
 	c := &Core{}
@@ -111,7 +111,7 @@
 // NextTimer returns the time at which Advance has to be called next, or positive infinity if no timer is set.
 func (c *Core) NextTimer() placer.Seconds { return c.timers.NextTimeOr(placer.Seconds(math.Inf(1))) }
 
-// Advance sets the clock to now and runs the timers that are due.
+// Advance sets the clock to now and fires the timers that are due.
 func (c *Core) Advance(now placer.Seconds) { c.runDueTimers(now) }
 
 // execute carries out an action of the placer. It ignores an action for a task that the core does not know.
@@ -176,9 +176,9 @@
 	return len(client.openRequests), client.lastPlacedAt > 0
 }
 
-// IsOnlyClient reports whether tasks are running and the given client connection is the only open one on
-// which a valid message has arrived. If this connection is closed, no other open connection is suitable for
-// notifications of the ends of tasks.
+// IsOnlyClient reports whether tasks are running and the given client connection is the only open client
+// connection on which a valid message has arrived. If this connection closes, the core has no other client
+// connection on which it can send notifications of the ends of tasks.
 func (c *Core) IsOnlyClient(conn ConnID) bool {
 	return c.RunningTasks() > 0 && c.clients.isOnlyClient(conn)
 }
@@ -215,8 +215,8 @@
 	c.runEvents()
 }
 
-// ConnectionLost tells the core that the connection on which an attempt was sent has closed. If the node has
-// not answered the attempt, the attempt ends with an unknown outcome.
+// ConnectionLost tells the core that the node connection on which an attempt was sent has closed. If the node
+// has not answered the attempt, the attempt ends with an unknown outcome.
 func (c *Core) ConnectionLost(now placer.Seconds, attempt *Attempt) {
 	c.setClock(now)
 	c.attempts.handleConnectionLoss(attempt)
@@ -241,8 +241,9 @@
 	c.runEvents()
 }
 
-// NodeUnresponsive stops all tasks that run on an unresponsive node and returns their number. The clients of
-// the tasks are notified immediately. The tasks may still be running if the node is only partitioned from the
+// NodeUnresponsive stops the tasks that run on an unresponsive node. It skips the tasks that the node was
+// already asked to stop, and returns the number of the other tasks. The clients of the tasks are notified
+// immediately. The tasks may still be running if the node is only partitioned from the
 // network, so the node is asked to stop the tasks as soon as it can be reached. The core reports the end of a
 // task to the placer only when the node confirms that it stopped the task, or after notificationRetention. If
 // the placer were told earlier, it would count the capacity of the task as free, although the node may come
--- a/internal/platform/dispatch/counts.go
+++ b/internal/platform/dispatch/counts.go
@@ -37,9 +37,9 @@
 	ConnectionsLost uint64
 	// TimedOut counts the attempts that were sent but not answered before they expired.
 	TimedOut uint64
-	// Expired counts the attempts that ended while they waited to be sent, unless no connection to the node
-	// could be established. It also counts the attempts that a node rejected because they arrived after their
-	// deadline.
+	// Expired counts the attempts that ended before they were sent. It excludes the attempts for which no
+	// connection to the node could be established. It includes the attempts that a node rejected because they
+	// arrived after their deadline.
 	Expired uint64
 	// LateAnswers counts the Running messages of nodes for attempts that had already been abandoned.
 	LateAnswers uint64
@@ -51,8 +51,8 @@
 	TasksEnded uint64
 	// Migrations counts the running tasks that the placer requested to migrate.
 	Migrations uint64
-	// TasksLost counts the running tasks that neither completed nor were stopped at the request of their
-	// client or the placer. It includes the tasks on unresponsive nodes.
+	// TasksLost counts the running tasks that ended for a reason other than completion or a stop that the
+	// client or the placer requested. It includes the tasks on unresponsive nodes.
 	TasksLost uint64
 	// PendingNotifications counts the notifications that could not be sent at once because no client
 	// connection was suitable.
--- a/internal/platform/dispatch/discovery_event.go
+++ b/internal/platform/dispatch/discovery_event.go
@@ -57,7 +57,7 @@
 	for i := range e.NodeList.Nodes {
 		entry := &e.NodeList.Nodes[i]
 		if _, valid := parseNodeState(entry.State); !valid || entry.UID == "" {
-			return fmt.Errorf("discovery event %d: targets[%d] has UID %q and state %q, want a UID and a known state", e.Number, i, entry.UID, entry.State)
+			return fmt.Errorf("discovery event %d: targets[%d] has UID %q and state %q, want a UID that is not empty and a known state", e.Number, i, entry.UID, entry.State)
 		}
 	}
 	return nil
--- a/internal/platform/dispatch/early_termination.go
+++ b/internal/platform/dispatch/early_termination.go
@@ -32,7 +32,8 @@
 	return &earlyTerminationLog{sharedState: shared, records: map[attemptKey]earlyTermination{}}
 }
 
-// get returns the record with the given key, if the log contains one.
+// get returns the record of the task with the given key. The result found is false if the log contains no
+// such record.
 func (l *earlyTerminationLog) get(key attemptKey) (record earlyTermination, found bool) {
 	record, found = l.records[key]
 	return record, found
--- a/internal/platform/dispatch/early_termination_test.go
+++ b/internal/platform/dispatch/early_termination_test.go
@@ -15,7 +15,7 @@
 	requireRecord := func(id protocol.ID, cause protocol.Cause, want bool) {
 		t.Helper()
 		if record, found := log.get(attemptKey{1, id}); found != want || found && record.cause != cause {
-			t.Errorf("at time %v, the log record of task %d is %+v, and the log contains the record: %v, want %v; a record must contain the cause of the first report", shared.now, id, record, found, want)
+			t.Errorf("at time %v, the log returned for task %d the record %+v with found %v; want found %v, and in a record the cause of the first report", shared.now, id, record, found, want)
 		}
 	}
 
@@ -26,7 +26,7 @@
 
 	requireRecord(1, 16, true)
 	if shared.timers.Len() != 1 || shared.timers.NextTimeOr(0) != 100+notificationRetention {
-		t.Errorf("the log has set %d timers, the next of them for time %v; want one timer, for the expiry time of the oldest record", shared.timers.Len(), shared.timers.NextTimeOr(0))
+		t.Errorf("%d timers are set, the next one for time %v; want 1 timer, for the expiry time of the oldest record", shared.timers.Len(), shared.timers.NextTimeOr(0))
 	}
 	shared.runDueTimers(100 + notificationRetention)
 	requireRecord(1, 0, false)
--- a/internal/platform/dispatch/environment.go
+++ b/internal/platform/dispatch/environment.go
@@ -38,7 +38,7 @@
 // runEvents passes all queued events to the placer and executes the actions that the placer returns.
 func (shared *sharedState) runEvents() { shared.events.Run(shared.now) }
 
-// runDueTimers sets the clock to the given time and runs the timers that are due.
+// runDueTimers sets the clock to the given time and fires the timers that are due.
 func (shared *sharedState) runDueTimers(now placer.Seconds) {
 	shared.setClock(now)
 	for timer := shared.timers.Pop(shared.now); timer != nil; timer = shared.timers.Pop(shared.now) {
--- a/internal/platform/dispatch/errors.go
+++ b/internal/platform/dispatch/errors.go
@@ -14,7 +14,7 @@
 
 // These are the reasons why a message of a client is invalid.
 const (
-	InvalidBody     InvalidReason = "body"      // The launch message has no body, which has to describe the task.
+	InvalidBody     InvalidReason = "body"      // The launch message has no body. The body has to describe the task.
 	InvalidClass    InvalidReason = "class"     // The launch message names an unknown task class.
 	InvalidTenant   InvalidReason = "tenant"    // The launch message names no tenant or an unknown one.
 	InvalidKey      InvalidReason = "key"       // The field Key does not consist of 16 hexadecimal digits.
--- a/internal/platform/dispatch/harness_test.go
+++ b/internal/platform/dispatch/harness_test.go
@@ -110,8 +110,8 @@
 	return msg.ID
 }
 
-// requestAdoption makes a client request the adoption of a task that runs on a node, and returns the ID of
-// the task.
+// requestAdoption sends an adoption request of a client for a task that runs on the given node, and returns
+// the ID of the task.
 func (harness *coreHarness) requestAdoption(conn ConnID, node int) protocol.ID {
 	return harness.sendLaunch(conn, "seats", longRunningMS, adoptionExtras(node))
 }
@@ -185,14 +185,14 @@
 func (harness *coreHarness) receiveAsClient(conn ConnID, msg protocol.Message) {
 	record := harness.clientRecords[msg.ID]
 	if record == nil {
-		harness.t.Fatalf("core sent message %v about a request that no client has sent", msg)
+		harness.t.Fatalf("core sent a client message %v, but no client has sent a request with this ID", msg)
 	}
 	switch {
 	case msg.Kind == protocol.Running:
 		record.answerCount++
 		isUnexpected := record.withdrawn || record.adoptionRequested || conn != record.conn || msg.Body != `"out"`
 		if isUnexpected || harness.now > record.deadline+0.01 {
-			harness.t.Fatalf("client received Running message %v at time %v, client record is %+v, message arrived on connection %d; want a Running message only for an open request, with body \"out\", in time and on the connection of the request", msg, harness.now, record, conn)
+			harness.t.Fatalf("got Running message %v at time %v, client record %+v, and client connection %d; want a Running message only for an open request, with body \"out\", before the deadline, and on the connection of the request", msg, harness.now, record, conn)
 		}
 		record.knowsTaskRuns = true
 	case record.knowsTaskRuns:
@@ -200,17 +200,17 @@
 		// A second notification is allowed only if the connection of the first notification closed before the
 		// client acknowledged the first notification.
 		if record.notificationCount > 1 && (record.lastNotificationConn == 0 || harness.core.clients.get(record.lastNotificationConn) != nil) {
-			harness.t.Fatalf("client received message %v, which is a second notification of the end of its task", msg)
+			harness.t.Fatalf("client received message %v as a second notification of the end of its task; want 1 notification, unless its connection closed before the acknowledgement", msg)
 		}
 		record.lastNotificationConn = conn
 	default:
 		record.answerCount++
 		if record.withdrawn || harness.now > record.deadline+0.011 {
-			harness.t.Fatalf("client received rejection %v at time %v, client record is %+v; want a rejection only in time and only of a request that was not withdrawn", msg, harness.now, record)
+			harness.t.Fatalf("got rejection %v at time %v and client record %+v; want a rejection only before the deadline, and none after the client withdrew the request", msg, harness.now, record)
 		}
 	}
 	if record.answerCount > 1 {
-		harness.t.Fatalf("client received message %v, which is a second answer to its request", msg)
+		harness.t.Fatalf("client received message %v as a second answer to its request, want 1 answer", msg)
 	}
 }
 
@@ -237,7 +237,7 @@
 	}
 	for _, other := range slices.Concat(harness.sentAttempts, harness.runningAttempts) {
 		if other != attempt && other.request == attempt.request && other.Live() {
-			harness.t.Fatalf("two attempts of request %s are live at the same time", attempt.Message.UID)
+			harness.t.Fatalf("two attempts of request %s are live at the same time, want at most 1", attempt.Message.UID)
 		}
 	}
 	if node := harness.core.Node(attempt.Node); node.State != placer.Ready || harness.now >= attempt.expiresAt {
@@ -277,7 +277,7 @@
 	harness.advanceClock(30)
 	for id, record := range harness.clientRecords {
 		if record.answerCount == 0 && !record.withdrawn && !record.adoptionRequested && id != healthCheckID {
-			harness.t.Fatalf("request %x was not answered, client record is %+v", uint64(id), record)
+			harness.t.Fatalf("request %x was not answered, client record is %+v; want 1 answer", uint64(id), record)
 		}
 	}
 	harness.requireEmpty()
--- a/internal/platform/dispatch/invariants.go
+++ b/internal/platform/dispatch/invariants.go
@@ -24,7 +24,7 @@
 		return fmt.Errorf("request table: %d illegal state transitions, want 0", t.illegalTransitions)
 	}
 	if len(t.byTask) != len(t.byID) {
-		return fmt.Errorf("request table: %d requests are indexed by task ID and %d by message ID", len(t.byTask), len(t.byID))
+		return fmt.Errorf("request table: %d requests are indexed by task ID and %d by message ID, want equal numbers", len(t.byTask), len(t.byID))
 	}
 	openRequests := 0
 	for task, req := range t.byTask {
@@ -59,7 +59,7 @@
 			return errors.New("no attempt runs the task")
 		}
 	default:
-		return errors.New("the request has ended but was not removed")
+		return errors.New("the request has ended but was not removed from the request table")
 	}
 	return nil
 }
@@ -73,10 +73,10 @@
 	}
 	for key, attempt := range t.byKey {
 		if attempt.key() != key || attempt.state == attemptTerminated {
-			return fmt.Errorf("attempt %s at node %x in state %v is stored under node %x, want no terminated attempt, and each attempt under its own node and task ID", attempt.Message.UID, attempt.Node, attempt.state, key.node)
+			return fmt.Errorf("attempt %s at node %x in state %v is stored under a key with node %x; want the key with the attempt's own node and task ID, and a state other than terminated", attempt.Message.UID, attempt.Node, attempt.state, key.node)
 		}
 		if node := t.nodes.get(attempt.Node); node != nil && node.runs(attempt) != (attempt.state == attemptRunning) {
-			return fmt.Errorf("attempt %s at node %x is in state %v; the set of running attempts of the node contains the attempt: %v, want true only in state running", attempt.Message.UID, attempt.Node, attempt.state, node.runs(attempt))
+			return fmt.Errorf("attempt %s at node %x is in state %v; the node's set of running attempts contains the attempt: got %v, want true if and only if the state is running", attempt.Message.UID, attempt.Node, attempt.state, node.runs(attempt))
 		}
 	}
 	return nil
@@ -87,11 +87,11 @@
 func (r *nodeRegistry) checkInvariants() error {
 	for id, node := range r.nodes {
 		if node.ID != id || node.placerNode.ID != id || node.placerNode.State != node.State {
-			return fmt.Errorf("node %s in state %d is stored under ID %x, and is described to the placer as %+v, want the same ID and state everywhere", node.UID, node.State, id, node.placerNode)
+			return fmt.Errorf("node %s in state %d is stored under ID %x, and the placer knows it as %+v; want the same ID and state in all three places", node.UID, node.State, id, node.placerNode)
 		}
 		for attempt := range node.runningAttempts {
 			if attempt.Node != id || attempt.state != attemptRunning {
-				return fmt.Errorf("the running attempts of node %s contain attempt %s in state %v, which does not run on that node", node.UID, attempt.Message.UID, attempt.state)
+				return fmt.Errorf("the set of running attempts of node %s contains attempt %s in state %v; want only attempts in state running that were sent to that node or adopted on it", node.UID, attempt.Message.UID, attempt.state)
 			}
 		}
 	}
@@ -102,12 +102,12 @@
 // by the expiry times of their records.
 func (l *earlyTerminationLog) checkInvariants() error {
 	if len(l.records) != len(l.keysOldestFirst) || len(l.keysOldestFirst) > maxEarlyTerminations {
-		return fmt.Errorf("early termination log: %d records, but %d keys in keysOldestFirst", len(l.records), len(l.keysOldestFirst))
+		return fmt.Errorf("early termination log: got %d records and %d keys in keysOldestFirst, want equal numbers that do not exceed maxEarlyTerminations", len(l.records), len(l.keysOldestFirst))
 	}
 	for i, key := range l.keysOldestFirst {
 		record, found := l.records[key]
 		if !found || i > 0 && record.expiresAt < l.records[l.keysOldestFirst[i-1]].expiresAt {
-			return fmt.Errorf("early termination %d of %d, counted from 0: the log has a record: %v, the record expires at time %v; want a record that does not expire before the preceding record", i, len(l.keysOldestFirst), found, record.expiresAt)
+			return fmt.Errorf("early termination log, key %d of %d, counted from 0: got a record for the key: %v, got expiry time %v; want a record, and an expiry time that is not before the expiry time of the preceding record", i, len(l.keysOldestFirst), found, record.expiresAt)
 		}
 	}
 	return nil
--- a/internal/platform/dispatch/invariants_test.go
+++ b/internal/platform/dispatch/invariants_test.go
@@ -19,7 +19,7 @@
 		{"attempt makes an illegal state transition", "attempt table: 1 illegal state transitions, want 0", func(core *Core, openRequest, _ *request) {
 			core.attempts.transition(openRequest.lastAttempt(), attemptPending)
 		}},
-		{"request is missing from the index by message ID", "2 requests are indexed by task ID and 1 by message ID", func(core *Core, openRequest, _ *request) { delete(core.requests.byID, openRequest.message.ID) }},
+		{"request is missing from the index by message ID", "2 requests are indexed by task ID and 1 by message ID, want equal numbers", func(core *Core, openRequest, _ *request) { delete(core.requests.byID, openRequest.message.ID) }},
 		{"request is indexed under the message ID of another request", "and by message ID contain different requests", func(core *Core, openRequest, runningRequest *request) {
 			core.requests.byID[runningRequest.message.ID] = openRequest
 		}},
@@ -27,24 +27,24 @@
 		{"open request is missing from the open requests of its connection", "the open request is missing from the open requests of client connection", func(core *Core, openRequest, _ *request) { core.clients.removeOpenRequest(openRequest) }},
 		{"open request has a running attempt", "an attempt runs the task of the open request", func(core *Core, openRequest, _ *request) { core.attempts.markRunning(openRequest.lastAttempt()) }},
 		{"request of a running task has no attempt", "no attempt runs the task", func(_ *Core, _, runningRequest *request) { runningRequest.attempts = nil }},
-		{"terminated request was not removed", "the request has ended but was not removed", func(_ *Core, _, runningRequest *request) { runningRequest.state = requestTerminated }},
-		{"terminated attempt was not removed", "in state terminated is stored under node", func(_ *Core, openRequest, _ *request) { openRequest.lastAttempt().state = attemptTerminated }},
-		{"running attempt is missing from the running attempts of its node", "in state running; the set of running attempts of the node contains the attempt: false, want true only in state running", func(core *Core, _, runningRequest *request) {
+		{"terminated request was not removed", "the request has ended but was not removed from the request table", func(_ *Core, _, runningRequest *request) { runningRequest.state = requestTerminated }},
+		{"terminated attempt was not removed", "in state terminated is stored under a key with node", func(_ *Core, openRequest, _ *request) { openRequest.lastAttempt().state = attemptTerminated }},
+		{"running attempt is missing from the running attempts of its node", "in state running; the node's set of running attempts contains the attempt: got false, want true if and only if the state is running", func(core *Core, _, runningRequest *request) {
 			core.nodes.removeRunningAttempt(runningRequest.lastAttempt())
 		}},
-		{"unanswered attempt is in the running attempts of its node", "in state sent; the set of running attempts of the node contains the attempt: true, want true only in state running", func(core *Core, openRequest, _ *request) {
+		{"unanswered attempt is in the running attempts of its node", "in state sent; the node's set of running attempts contains the attempt: got true, want true if and only if the state is running", func(core *Core, openRequest, _ *request) {
 			core.nodes.addRunningAttempt(openRequest.lastAttempt())
 		}},
-		{"running attempt is in the running attempts of several nodes", "in state running, which does not run on that node", func(core *Core, _, runningRequest *request) {
+		{"running attempt is in the running attempts of several nodes", "in state running; want only attempts in state running that were sent to that node or adopted on it", func(core *Core, _, runningRequest *request) {
 			for _, node := range core.nodes.nodes {
 				node.runningAttempts[runningRequest.lastAttempt()] = struct{}{}
 			}
 		}},
 		{"node is stored under a wrong ID", "is stored under ID", func(core *Core, _, _ *request) { core.nodes.nodes[1] = core.nodes.get(nodeID(3)) }},
-		{"early termination log has a key without a record", "0 records, but 1 keys in keysOldestFirst", func(core *Core, _, _ *request) {
+		{"early termination log has a key without a record", "got 0 records and 1 keys in keysOldestFirst", func(core *Core, _, _ *request) {
 			clear(core.nodeMessages.earlyTerminations.records)
 		}},
-		{"early terminations are not in the order of their expiry", "early termination 1 of 2, counted from 0", func(core *Core, _, _ *request) {
+		{"early terminations are not in the order of their expiry", "early termination log, key 1 of 2, counted from 0", func(core *Core, _, _ *request) {
 			core.now = 0 // Only a test can move the clock backwards.
 			core.nodeMessages.earlyTerminations.add(attemptKey{id: 78}, protocol.CauseEnd)
 		}},
--- a/internal/platform/dispatch/node.go
+++ b/internal/platform/dispatch/node.go
@@ -19,7 +19,7 @@
 
 	placerNode      placer.Node
 	runningAttempts map[*Attempt]struct{} // runningAttempts is the set of attempts that run on the node.
-	stateChangedAt  placer.Seconds        // stateChangedAt is when State last changed.
+	stateChangedAt  placer.Seconds        // stateChangedAt is the time of the last change of State.
 	// taskLossScheduledFor is the value that stateChangedAt had when scheduleTaskLoss set its timer. It is 0
 	// if that timer is not set.
 	taskLossScheduledFor placer.Seconds
--- a/internal/platform/dispatch/node_message.go
+++ b/internal/platform/dispatch/node_message.go
@@ -84,11 +84,11 @@
 	})
 }
 
-// handleRunning handles a Running message, with which a node accepts an attempt.
+// handleRunning handles a Running message. A node sends a Running message to accept an attempt.
 func (h *nodeMessageHandler) handleRunning(attempt *Attempt, msg *protocol.Message) {
 	latestAnswerAt := attempt.request.deadline + h.settings.Placer.Attempts.AnswerGrace
 	if attempt.state == attemptSent && h.now > latestAnswerAt {
-		// The client no longer waits, although the expiry timer of the attempt has not run yet.
+		// The client no longer waits, although the expiry timer of the attempt has not fired yet.
 		h.attempts.abandon(attempt, placer.TimedOut, false)
 	}
 	switch attempt.state {
@@ -114,7 +114,8 @@
 	}
 }
 
-// handleStop handles a Stop message, with which a node rejects an attempt or reports the end of a task.
+// handleStop handles a Stop message. A node sends a Stop message to reject an attempt or to report the end of
+// a task.
 func (h *nodeMessageHandler) handleStop(attempt *Attempt, msg *protocol.Message) {
 	switch attempt.state {
 	case attemptSent:
@@ -127,8 +128,8 @@
 	}
 }
 
-// taskResult returns the result of a task that ran. The cause is the one with which the node reported the end
-// of the task.
+// taskResult returns the result of a running task after the node has reported the end of the task with the
+// given cause.
 func taskResult(cause protocol.Cause) placer.Result {
 	switch cause {
 	case protocol.CauseEnd:
--- a/internal/platform/dispatch/node_registry.go
+++ b/internal/platform/dispatch/node_registry.go
@@ -16,7 +16,7 @@
 	// terminatedNodeRetention is how long a terminated node is kept in the node registry.
 	terminatedNodeRetention placer.Seconds = 60.0
 	// incarnationTolerance allows for inexact clocks and start times. A task belongs to an earlier
-	// incarnation of its node only if the node started later than the task by more than this time.
+	// incarnation of its node only if the node started after the task and the difference is more than this time.
 	incarnationTolerance placer.Seconds = 1.0
 )
 
@@ -212,7 +212,7 @@
 }
 
 // scheduleTaskLoss sets a timer that ends the running tasks of a terminated node and reports the tasks as
-// lost. If the state of the node changes before the timer runs, the timer has no effect. The delay gives the
+// lost. If the state of the node changes before the timer fires, the timer has no effect. The delay gives the
 // node time to report how its tasks ended. These reports are more detailed than the discovery event.
 func (r *nodeRegistry) scheduleTaskLoss(node *Node) {
 	if len(node.runningAttempts) == 0 {
@@ -240,9 +240,9 @@
 	}
 }
 
-// scheduleRemoval sets a timer that removes a terminated node from the registry. When the timer runs, the
-// node is kept if it is no longer terminated. The timer is set again if the node still has running tasks, or
-// if it has terminated again in the meantime.
+// scheduleRemoval sets a timer that removes a terminated node from the registry. If the node is no longer
+// terminated when the timer fires, the node is kept. If the node still has running tasks, or if it has
+// recovered and terminated again in the meantime, the timer is set again.
 func (r *nodeRegistry) scheduleRemoval(node *Node) {
 	if node.removalScheduled {
 		return
--- a/internal/platform/dispatch/node_registry_test.go
+++ b/internal/platform/dispatch/node_registry_test.go
@@ -31,7 +31,7 @@
 			stopRequested := asksNodeToStop(harness.carryOutEffects())
 			newEvents, runningTasks := len(policy.events)-eventsBefore, harness.core.RunningTasks()
 			if record.notificationCount != 1 || !stopRequested || newEvents != 0 || runningTasks != 1 {
-				t.Errorf("client record is %+v, node was asked to stop the task: %v, placer received %d events, core has %d running tasks; want notificationCount 1, a Stop message to the node, 0 events and 1 running task", record, stopRequested, newEvents, runningTasks)
+				t.Errorf("after the first call of NodeUnresponsive, got client record %+v, Stop message to the node: %v, %d new events at the placer, and %d running tasks; want notificationCount 1, a Stop message, 0 new events, and 1 running task", record, stopRequested, newEvents, runningTasks)
 			}
 			if stoppedTasks := harness.core.NodeUnresponsive(harness.now, attempt.Node); stoppedTasks != 0 {
 				t.Errorf("second call of NodeUnresponsive stopped %d tasks, want 0", stoppedTasks)
@@ -44,7 +44,7 @@
 			}
 			endReported := policy.lastEvent().Kind == placer.Ended && policy.lastEvent().Result == test.result
 			if record.notificationCount != 1 || !endReported || harness.core.RunningTasks() != 0 {
-				t.Errorf("client record is %+v, last event of the placer is %+v; want notificationCount 1, an Ended event with the result of the test case, and no running task in the core", record, policy.lastEvent())
+				t.Errorf("got client record %+v and last event at the placer %+v; want notificationCount 1, an Ended event with result Finished if the node reported CauseEnd and otherwise with result Cancelled, and no running task in the core", record, policy.lastEvent())
 			}
 		})
 	}
@@ -54,7 +54,7 @@
 // starts a new incarnation.
 func TestNodesThatTerminateOrRestart(t *testing.T) {
 	for name, event := range map[string]string{
-		"node list contains the node as terminated":    discoveryEventJSON(2, false, nodeJSON(1, "terminated", 0)),
+		"node list reports the node as terminated":     discoveryEventJSON(2, false, nodeJSON(1, "terminated", 0)),
 		"complete node list does not contain the node": discoveryEventJSON(2, true, nodeJSON(2, "in_service", 0)),
 		"node starts a new incarnation":                discoveryEventJSON(2, false, nodeJSON(1, "in_service", 2000_000)),
 	} {
@@ -70,7 +70,7 @@
 			harness.advanceClock(TerminationGrace + 0.01)
 
 			if record.notificationCount != 1 || policy.lastEvent().Result != placer.Lost {
-				t.Errorf("client record is %+v, last event of the placer is %+v; want notificationCount 1, and result Lost in the last event", record, policy.lastEvent())
+				t.Errorf("got client record %+v and last event at the placer %+v; want notificationCount 1, and result Lost in the last event", record, policy.lastEvent())
 			}
 		})
 	}
@@ -95,7 +95,7 @@
 	} {
 		ok, err := harness.core.ReceiveDiscoveryEvent(harness.now, []byte(test.event))
 		if lastEvent := harness.core.LastDiscoveryEvent(); ok != test.ok || (err != nil) != test.invalid || lastEvent != test.lastEvent {
-			t.Errorf("%s: ReceiveDiscoveryEvent returned ok %v and error %v, and LastDiscoveryEvent then returned %d; want the fields ok, invalid and lastEvent of the test case", test.name, ok, err, lastEvent)
+			t.Errorf("%s: ReceiveDiscoveryEvent returned ok %v and error %v, and LastDiscoveryEvent then returned %d; want an error only for an invalid event, ok unless the event is invalid or an earlier event is missing, and the number of the last applied event", test.name, ok, err, lastEvent)
 		}
 	}
 	if node := harness.core.Node(nodeID(4)); node.State != placer.Draining {
@@ -113,7 +113,7 @@
 		harness.deliverDiscoveryEvent(false, nodeJSON(4, "in_service", 0))
 		node := harness.core.Node(id + 1)
 		if node == nil || node.UID != nodeUID(4) || harness.core.Node(id).UID != "another" {
-			t.Fatalf("the ID after the hash of the UID of node 4 refers to node %+v; want node 4 there, because another node already has the hash as its ID, and want that node to keep its ID", node)
+			t.Fatalf("got node %+v at the ID that follows the hash of the UID of node 4; want node 4 at this ID, because the hash is the ID of another node, and want the other node to keep its ID", node)
 		}
 	}
 }
--- a/internal/platform/dispatch/notification.go
+++ b/internal/platform/dispatch/notification.go
@@ -22,14 +22,16 @@
 // answer to a request, it may be sent on any connection, and it is sent again if the client may not have
 // received it.
 type notification struct {
-	message         protocol.Message
-	expiresAt       placer.Seconds
-	sentAsMigration bool // sentAsMigration is set for a Migrate message, which clients never acknowledge.
+	message   protocol.Message
+	expiresAt placer.Seconds
+	// sentAsMigration is set if the notification was sent as a Migrate message. Clients never acknowledge
+	// Migrate messages.
+	sentAsMigration bool
 }
 
 // needsRedelivery reports whether the notification has to be sent again, because the client may not have
-// received it before its connection closed at the given time. The parameter clientAcknowledges is set if the
-// client acknowledges notifications.
+// received it before the client connection closed. The parameter now is the time at which the connection
+// closed. The parameter clientAcknowledges is set if the client acknowledges notifications.
 func (n *notification) needsRedelivery(now placer.Seconds, clientAcknowledges bool) bool {
 	if n.expiresAt <= now {
 		return false
@@ -113,8 +115,8 @@
 	conn.notifications.add(n.now, notice)
 }
 
-// acknowledge handles a Stopped message, with which a client acknowledges the notification that a task has
-// ended.
+// acknowledge handles a Stopped message. A client sends a Stopped message to acknowledge the notification that
+// its task has ended.
 func (n *notifier) acknowledge(conn *clientConn, id protocol.ID) { conn.notifications.acknowledge(id) }
 
 // sendPendingNotifications sends all pending notifications on a client connection on which a valid message
--- a/internal/platform/dispatch/notification_test.go
+++ b/internal/platform/dispatch/notification_test.go
@@ -27,7 +27,7 @@
 	harness.connect()
 	harness.reportEnd(attempt.Node, attempt.Message.ID, protocol.CauseEnd)
 	if got := notifiedConns(harness); !slices.Equal(got, []ConnID{1}) {
-		t.Fatalf("client was notified on connections %v, want connection 1, which is the open connection of the request", got)
+		t.Fatalf("client was notified on connections %v, want only connection 1, on which the request arrived", got)
 	}
 
 	harness, _, attempt = runningAttempt(t, "seats")
@@ -35,27 +35,27 @@
 	harness.core.ClientDisconnected(harness.now, 1)
 	harness.reportEnd(attempt.Node, attempt.Message.ID, protocol.CauseEnd)
 	if got := notifiedConns(harness); len(got) != 0 || harness.core.Counts.PendingNotifications != 1 {
-		t.Fatalf("client was notified on connections %v, want one pending notification, since no valid message has arrived on connection %d", got, unusedConn)
+		t.Fatalf("client was notified on connections %v, want no connection and 1 pending notification, since no valid message has arrived on the open connection %d", got, unusedConn)
 	}
 
 	nextConn := harness.connect()
 	harness.now += 7
 	harness.receiveFromClient(nextConn, newMessage(protocol.Check, 77, 0))
 	if got := notifiedConns(harness); !slices.Equal(got, []ConnID{nextConn}) {
-		t.Fatalf("client was notified on connections %v, want only the connection on which a valid message arrived", got)
+		t.Fatalf("client was notified on connections %v, want only the newest connection, on which a valid message arrived", got)
 	}
 	harness.receiveFromClient(nextConn, newMessage(protocol.Check, 77, 0))
 	if len(notifiedConns(harness)) != 0 {
-		t.Fatal("client was notified a second time, after its next valid message")
+		t.Fatal("the client sent one more valid message and was notified a second time; want no second notification")
 	}
 }
 
 // TestRedeliveryAfterDisconnect checks whether a notification is sent again when its client connection
 // closes. If the connection closes shortly after the notification, the notification must be sent again unless
 // the client has acknowledged it. If the connection closes later, the notification must be sent again only if
-// the client acknowledges notifications and has not acknowledged this one. A Migrate message, and a
-// notification that is older than notificationRetention, must not be sent again if the connection closes
-// later.
+// the client acknowledges notifications and has not acknowledged this one. A Migrate message must
+// not be sent again if the connection closes later. A notification that is older than notificationRetention
+// must not be sent again in any case.
 func TestRedeliveryAfterDisconnect(t *testing.T) {
 	for _, test := range []struct {
 		name                                                                     string
@@ -111,7 +111,7 @@
 				}
 			}
 			if got != test.want {
-				t.Errorf("client was notified %d times on its second connection, want %d", got, test.want)
+				t.Errorf("client was notified %d times on its second connection, want %d times", got, test.want)
 			}
 		})
 	}
--- a/internal/platform/dispatch/random_test.go
+++ b/internal/platform/dispatch/random_test.go
@@ -94,7 +94,7 @@
 	}
 	driver.acceptAttempt(driver.sentAttempts[driver.draw(len(driver.sentAttempts), "sent attempt")])
 	// All attempts of a request have the same ID in messages. If two of them were sent to the same node, the
-	// core assigns the node's answer to the later one.
+	// core assigns the node's answer to the attempt that was sent later.
 	for _, attempt := range driver.sentAttempts {
 		if attempt.state == attemptRunning && !slices.Contains(driver.runningAttempts, attempt) {
 			driver.runningAttempts = append(driver.runningAttempts, attempt)
@@ -102,7 +102,7 @@
 	}
 }
 
-// stopRandomTask makes a node report the end of a random task with a random cause. The task may run on
+// stopRandomTask makes a node report the end of a random task with a random cause, even if the task runs on
 // another node.
 func (driver *randomDriver) stopRandomTask() {
 	if len(driver.sentAttempts) > 0 {
@@ -138,7 +138,7 @@
 	case 2: // Nodes that are missing from a complete node list count as terminated.
 		var nodes []string
 		for i := range 5 {
-			if driver.draw(3, "node is in the list") > 0 {
+			if driver.draw(3, "node is in the complete node list") > 0 {
 				nodes = append(nodes, nodeJSON(1+i, []string{"in_service", "terminating"}[driver.draw(2, "node state")], 0))
 			}
 		}
@@ -166,15 +166,15 @@
 	driver.carryOutEffects()
 }
 
-// requestAdoptionOfEndingTask makes a client request the adoption of a task, and makes the node report the
-// end of that task. The report arrives either before or after the adoption request.
+// requestAdoptionOfEndingTask sends an adoption request of a client for a task, and a report of the node that
+// the task has ended. The report arrives either before or after the adoption request.
 func (driver *randomDriver) requestAdoptionOfEndingTask() {
 	if len(driver.conns) == 0 {
 		return
 	}
 	conn := driver.conns[driver.draw(len(driver.conns), "connection")]
 	nextID := protocol.ID(driver.lastID + 1)
-	endReportedFirst := driver.draw(2, "end is reported first") == 0
+	endReportedFirst := driver.draw(2, "end is reported before the adoption request") == 0
 	if endReportedFirst {
 		driver.reportEnd(nodeID(1), nextID, protocol.CauseEnd)
 	}
@@ -202,7 +202,7 @@
 		}
 		for id := range driver.adoptionRequested {
 			if record := driver.clientRecords[protocol.ID(id)]; driver.endReported[id] && record.notificationCount == 0 {
-				t.Fatalf("client was not notified of the end of task %d, although it requested the adoption of the task", id)
+				t.Fatalf("client was not notified of the end of task %d, although it requested the adoption of the task; want a notification", id)
 			}
 		}
 		for id := 1; id <= adoptableTasks; id++ {
@@ -211,7 +211,7 @@
 		driver.endAllTasks()
 		earlyTerminations := driver.core.nodeMessages.earlyTerminations
 		if len(earlyTerminations.records) != 0 || len(earlyTerminations.keysOldestFirst) != 0 {
-			t.Fatalf("early termination log is not empty after the retention time: it has %d records, want 0", len(earlyTerminations.records))
+			t.Fatalf("after the retention time, the early termination log has %d records; want 0 records and 0 keys in keysOldestFirst", len(earlyTerminations.records))
 		}
 	})
 }
@@ -248,8 +248,8 @@
 	}
 }
 
-// requestAdoptionOf makes the client request the adoption of a task on the current connection, unless the
-// client was already notified of the end of the task.
+// requestAdoptionOf sends the client's adoption request for a task on the current client connection, unless
+// the client was already notified of the end of the task.
 func (driver *adoptionDriver) requestAdoptionOf(number int) {
 	id := protocol.ID(number)
 	record := driver.clientRecords[id]
@@ -293,7 +293,8 @@
 				harness.receiveFromNode(attempt, newMessage(protocol.Stop, attempt.Message.ID, protocol.CauseEnd))
 			}
 		}
-		// After the last step, only its tasks can run: earlier tasks have ended or their nodes terminated.
+		// At the end of the test, only tasks of the last step can run. Earlier tasks have ended, or their nodes
+		// have terminated.
 		harness.sentAttempts, harness.runningAttempts = nil, harness.sentAttempts
 		harness.deliverDiscoveryEvent(false, nodeJSON(i+4, "in_service", 0), nodeJSON(i+1, "terminated", 0))
 		harness.advanceClock(0.2)
@@ -304,7 +305,7 @@
 	harness.endAllTasks()
 	harness.advanceClock(terminatedNodeRetention)
 	if nodes := len(harness.core.nodes.nodes); nodes > 4 {
-		t.Errorf("node registry contains %d nodes after all other nodes were removed, want at most 4", nodes)
+		t.Errorf("node registry contains %d nodes after the terminated nodes were removed, want at most 4", nodes)
 	}
 	if timers := harness.core.timers.Len(); timers > 20 {
 		t.Errorf("core has %d timers after all tasks and terminated nodes were removed, want at most 20", timers)
--- a/internal/platform/dispatch/request_parser.go
+++ b/internal/platform/dispatch/request_parser.go
@@ -27,10 +27,10 @@
 // this multiple of the deadline of the task class.
 const maxDeadlineMultiple = 2
 
-// millisecondsPerSecond converts the times in platform messages, which are given in milliseconds.
+// millisecondsPerSecond converts between the milliseconds in platform messages and placer.Seconds.
 const millisecondsPerSecond = 1000
 
-// maxResourceAmount limits the cores and the memory of a task.
+// maxResourceAmount limits the number of cores and the amount of memory of a task.
 const maxResourceAmount = 1e9
 
 // requestParser validates launch messages against the settings.
@@ -145,7 +145,7 @@
 	limitMS := maxDeadlineMultiple * millisecondsPerSecond * float64(p.settings.Placer.Classes[parsedReq.task.Class].Deadline)
 	valid := err == nil && (inRange(leftMS, limitMS) || parsedReq.isAdoption() && leftMS >= 0)
 	if !valid {
-		return 0, invalidMessage(InvalidTimeLeft, "launch message %s: time left is %.40q, want 0 to %g ms, which is twice the deadline of the task class", msg.UID, text, limitMS)
+		return 0, invalidMessage(InvalidTimeLeft, "launch message %s: time left is %.40q, want a number of milliseconds from 0 to %g (twice the deadline of the task class)", msg.UID, text, limitMS)
 	}
 	return now + placer.Seconds(leftMS/millisecondsPerSecond), nil
 }
--- a/internal/platform/dispatch/request_parser_test.go
+++ b/internal/platform/dispatch/request_parser_test.go
@@ -32,7 +32,7 @@
 		{"extras contain a service and an unknown name", setField(protocol.Extras, "cores:1;;x:y;memory:1;service:00000000000000aF"), func(want *parsedRequest) {
 			want.task.Service = 0xaf
 		}},
-		{"client requests the adoption of a task without a planned end", func(msg *protocol.Message) {
+		{"adoption request is for a task without a planned end", func(msg *protocol.Message) {
 			msg.Set(protocol.Extras, "cores:1;memory:1"+adoptionExtras(2))
 			msg.Set(protocol.TimeLeft, "4294967000")
 		}, func(want *parsedRequest) {
--- a/internal/platform/dispatch/request_state.go
+++ b/internal/platform/dispatch/request_state.go
@@ -1,8 +1,8 @@
 package dispatch
 
 // requestState is the state of a placement request. The states from requestMigrating on are final for the
-// client: the client needs no further answer and no notification that the task has ended. There is one
-// exception: if the node does not confirm that it stopped a task for a migration, the client is notified of
+// client: the client has stopped waiting for an answer and for the notification that its task has ended. There
+// is one exception: if the node does not confirm that it stopped a task for a migration, the client is notified of
 // the end of that task.
 type requestState uint8
 
@@ -14,8 +14,8 @@
 	// requestMigrating means that the client was asked to request a new placement of the running task. The
 	// node was asked to stop the task and has not yet confirmed that it stopped the task.
 	requestMigrating
-	// requestStopping means that the client needs no notification of the end of the running task. The node
-	// was asked to stop the task and has not yet confirmed that it stopped the task.
+	// requestStopping means that the node was asked to stop the running task and has not yet confirmed that
+	// it stopped the task. Either the client requested the stop, or it was already notified of the end.
 	requestStopping
 	// requestAnswered means that the client was informed that the request was rejected or has failed.
 	requestAnswered
@@ -40,5 +40,6 @@
 // String returns the name of the state.
 func (s requestState) String() string { return requestStates.stateName("request", s) }
 
-// isFinal reports whether the client needs no further answer and no notification that its task has ended.
+// isFinal reports whether the state is final for the client. In a final state, the client has stopped waiting
+// for an answer and for the notification that its task has ended.
 func (s requestState) isFinal() bool { return s >= requestMigrating }
--- a/internal/platform/dispatch/request_test.go
+++ b/internal/platform/dispatch/request_test.go
@@ -57,7 +57,7 @@
 		})
 	}
 	if openRequests := harness.core.OpenRequests(); openRequests != 1 {
-		t.Errorf("%d requests are open after all invalid requests, want only the 1 valid request", openRequests)
+		t.Errorf("%d requests are open after all invalid requests, want 1, which is the valid request", openRequests)
 	}
 }
 
@@ -75,14 +75,14 @@
 		return len(effects) == 1 && effects[0].Kind == SendToClient && effects[0].Message.Cause == protocol.CauseOverloaded
 	}
 	if !isRejected() {
-		t.Fatal("a request was not rejected with CauseOverloaded although maxTasks tasks are running")
+		t.Fatal("a request was not rejected with CauseOverloaded although maxTasks tasks are running, want a rejection")
 	}
 
 	harness.core.NodeDead(harness.now, nodeID(1))
 	harness.carryOutEffects()
 
 	if isRejected() {
-		t.Fatal("a request was rejected with CauseOverloaded after all tasks had ended")
+		t.Fatal("a request was rejected with CauseOverloaded after all tasks had ended, want no rejection")
 	}
 }
 
@@ -97,7 +97,7 @@
 // TestActionsOnMigratingRequest checks that actions of the placer for a task that is already migrating change
 // nothing except counters.
 func TestActionsOnMigratingRequest(t *testing.T) {
-	for name, kind := range map[string]placer.ActionKind{"placer rejects the migrating request": placer.Reject, "placer fails the migrating request": placer.Fail, "placer migrates the task a second time": placer.Migrate} {
+	for name, kind := range map[string]placer.ActionKind{"placer rejects the migrating request": placer.Reject, "placer answers the migrating request with an error": placer.Fail, "placer migrates the task a second time": placer.Migrate} {
 		t.Run(name, func(t *testing.T) {
 			harness, _, attempt := runningAttempt(t, "seats")
 			harness.migrateTask(attempt)
@@ -107,7 +107,7 @@
 
 			effects := harness.core.Ready()
 			if len(effects) != 0 || attempt.request.state != requestMigrating || harness.core.RunningTasks() != 1 {
-				t.Errorf("after the action of the placer, the request is in state %v and the core added effects %+v; want state migrating, no effects, and 1 running task in the core", attempt.request.state, effects)
+				t.Errorf("after the action of the placer, got request state %v and effects %+v; want state migrating, no effects, and 1 running task in the core", attempt.request.state, effects)
 			}
 		})
 	}
@@ -126,7 +126,7 @@
 			table.sendFinalAnswer(req, protocol.Message{})
 
 			if req.state != state || *shared.counts != (Counts{}) || table.openCount != 0 || len(shared.effects) != 0 {
-				t.Errorf("request is in state %v, counters are %+v, openCount is %d, effects are %+v; want the state before the calls, 0 in all counters and in openCount, and no effects", req.state, *shared.counts, table.openCount, shared.effects)
+				t.Errorf("got request state %v, counters %+v, openCount %d and effects %+v; want an unchanged request state, 0 in all counters and in openCount, and no effects", req.state, *shared.counts, table.openCount, shared.effects)
 			}
 		})
 	}
--- a/internal/platform/dispatch/state_test.go
+++ b/internal/platform/dispatch/state_test.go
@@ -21,11 +21,11 @@
 		for to := State(0); to <= lastState; to++ {
 			legal := slices.Contains(table[from].legalNext, to)
 			if legal && !mayBeLegal(from, to) {
-				t.Errorf("state table allows the transition from %v to %v, want a table that does not allow it", from, to)
+				t.Errorf("state table allows the transition from %v to %v, want this transition to be illegal", from, to)
 			}
 			stateAfter, illegalCount := transition(from, to)
 			if countedAsIllegal := illegalCount == 1; stateAfter != to || countedAsIllegal == legal {
-				t.Errorf("transition from %v to %v led to state %v and was counted as illegal: %v; want the target state in every case, and a count only if the state table does not allow the transition", from, to, stateAfter, countedAsIllegal)
+				t.Errorf("transition from %v to %v: got state %v, got counted as illegal: %v; want the second of the two states, want counted as illegal: true if and only if the state table does not allow the transition", from, to, stateAfter, countedAsIllegal)
 			}
 		}
 	}
@@ -73,6 +73,6 @@
 		t.Errorf("the states have %d distinct names, want %d, one for each state; the names are %v", distinctCount, len(names), names)
 	}
 	if got := requestState(99).String() + ", " + attemptState(98).String(); got != "request state 99, attempt state 98" {
-		t.Errorf("names of unknown states are %q, want the names of the state machines and the numbers of the states", got)
+		t.Errorf("names of unknown states are %q, want \"request state 99, attempt state 98\"", got)
 	}
 }
--- a/internal/platform/dispatch/task.go
+++ b/internal/platform/dispatch/task.go
@@ -35,8 +35,8 @@
 }
 
 // endTask ends a running task and notifies the client, except in two cases. In state requestStopping, the
-// client needs no notification. In state requestMigrating, the client needs none if the node has confirmed
-// that it stopped the task for the migration.
+// client requested the stop or was already notified. In state requestMigrating, the client is not notified if
+// the node has confirmed that it stopped the task for the migration.
 func (t *taskController) endTask(attempt *Attempt, outcome attemptOutcome, cause protocol.Cause) {
 	req := attempt.request
 	unconfirmedMigration := req.state == requestMigrating && cause != protocol.CauseCancelled
@@ -88,7 +88,7 @@
 	t.requestStop(attempt, protocol.CauseCancelled)
 }
 
-// notifyUnconfirmedMigration notifies the client of a migrating task of the end of the task, unless the node
+// notifyUnconfirmedMigration tells the client of a migrating task that the task has ended, unless the node
 // has confirmed that it stopped the task for the migration. The notification is needed because the task may
 // have ended by itself while the Migrate message was in transit. In that case the client ignores the Migrate
 // message.
@@ -111,7 +111,7 @@
 }
 
 // stopTasksOn implements Core.NodeUnresponsive: it stops the tasks that run on an unresponsive node. It
-// returns the number of tasks that the node had not been asked to stop before.
+// skips the tasks that the node was already asked to stop, and returns the number of the other tasks.
 func (t *taskController) stopTasksOn(node *Node) (stoppedTasks int) {
 	for _, attempt := range node.runningAttemptsByTaskID() {
 		if attempt.stopSent {
@@ -138,8 +138,8 @@
 	t.attempts.sendStop(attempt, cause, false)
 }
 
-// awaitStopConfirmation sets the timers that run if the node does not confirm in time that it stopped a
-// running task.
+// awaitStopConfirmation sets the timers that limit how long the core waits for a node to confirm that it
+// stopped a running task.
 func (t *taskController) awaitStopConfirmation(attempt *Attempt) {
 	if attempt.request.state == requestMigrating {
 		t.timers.Add(t.now+migrationConfirmTimeout, func() { t.notifyUnconfirmedMigration(attempt) })
