--- a/internal/platform/dispatch/attempt.go
+++ b/internal/platform/dispatch/attempt.go
@@ -34,7 +34,7 @@
 func (a *Attempt) Live() bool { return a.state.isLive() }
 
 // ClientConn returns the client connection on which the placement request of the attempt arrived.
-func (a *Attempt) ClientConn() ConnID { return a.request.conn }
+func (a *Attempt) ClientConn() ConnID { return a.request.connID }
 
 // Pending reports whether the attempt has not been sent yet.
 func (a *Attempt) Pending() bool { return a.state == attemptPending }
--- a/internal/platform/dispatch/client_message.go
+++ b/internal/platform/dispatch/client_message.go
@@ -79,7 +79,7 @@
 // with the same ID cannot both be answered. If the existing request is open and arrived on the same client
 // connection, the existing request is withdrawn.
 func (h *clientMessageHandler) rejectDuplicate(client *clientConn, existingRequest *request, msg *protocol.Message) error {
-	if existingRequest.conn == client.id && existingRequest.runningAttempt() == nil {
+	if existingRequest.connID == client.id && existingRequest.runningAttempt() == nil {
 		h.requests.withdraw(existingRequest)
 	}
 	return invalidMessage(InvalidIDInUse, "launch message %s has the same ID as an existing request", msg.UID)
@@ -96,7 +96,7 @@
 		h.tasks.stopForClient(attempt, clientStopCause(msg))
 		return nil
 	}
-	if req.conn != client.id {
+	if req.connID != client.id {
 		return invalidMessage(InvalidStop, "stop message: request %s is open on another client connection", msg.UID)
 	}
 	h.requests.withdraw(req)
--- a/internal/platform/dispatch/client_registry.go
+++ b/internal/platform/dispatch/client_registry.go
@@ -94,14 +94,14 @@
 
 // addOpenRequest adds a request to the set of open requests of its client connection.
 func (r *clientRegistry) addOpenRequest(req *request) {
-	if conn := r.conns[req.conn]; conn != nil {
+	if conn := r.conns[req.connID]; conn != nil {
 		conn.openRequests[req] = struct{}{}
 	}
 }
 
 // removeOpenRequest removes a request from the set of open requests of its client connection.
 func (r *clientRegistry) removeOpenRequest(req *request) {
-	if conn := r.conns[req.conn]; conn != nil {
+	if conn := r.conns[req.connID]; conn != nil {
 		delete(conn.openRequests, req)
 	}
 }
@@ -109,7 +109,7 @@
 // recordPlacedTask sets lastPlacedAt of the client connection on which a request arrived. It is called when
 // the task of the request has started or was adopted.
 func (r *clientRegistry) recordPlacedTask(req *request) {
-	if conn := r.conns[req.conn]; conn != nil {
+	if conn := r.conns[req.connID]; conn != nil {
 		conn.lastPlacedAt = r.now
 	}
 }
@@ -122,8 +122,8 @@
 // sendAnswer sends the answer to a request on the connection on which the request arrived. It sends nothing
 // if that connection is closed.
 func (r *clientRegistry) sendAnswer(req *request, answer protocol.Message) {
-	if r.conns[req.conn] != nil {
-		r.send(req.conn, answer)
+	if r.conns[req.connID] != nil {
+		r.send(req.connID, answer)
 	}
 }
 
--- a/internal/platform/dispatch/core.go
+++ b/internal/platform/dispatch/core.go
@@ -145,17 +145,17 @@
 }
 
 // ClientConnected adds a new client connection.
-func (c *Core) ClientConnected(now placer.Seconds, conn ConnID) {
+func (c *Core) ClientConnected(now placer.Seconds, connID ConnID) {
 	c.setClock(now)
-	c.clients.connect(conn)
+	c.clients.connect(connID)
 }
 
 // ClientDisconnected removes a client connection. The open requests of the connection are withdrawn, since
 // their answers can no longer be sent. Notifications that the client may not have received are sent again on
 // another client connection.
-func (c *Core) ClientDisconnected(now placer.Seconds, conn ConnID) {
+func (c *Core) ClientDisconnected(now placer.Seconds, connID ConnID) {
 	c.setClock(now)
-	client := c.clients.disconnect(conn)
+	client := c.clients.disconnect(connID)
 	if client == nil {
 		return
 	}
@@ -168,8 +168,8 @@
 
 // ClientRequests returns the number of open requests on a client connection. It also returns whether the task
 // of any request on that connection has started or was adopted.
-func (c *Core) ClientRequests(conn ConnID) (openCount int, hasPlacedTask bool) {
-	client := c.clients.get(conn)
+func (c *Core) ClientRequests(connID ConnID) (openCount int, hasPlacedTask bool) {
+	client := c.clients.get(connID)
 	if client == nil {
 		return 0, false
 	}
@@ -179,18 +179,18 @@
 // IsOnlyClient reports whether tasks are running and the given client connection is the only open client
 // connection on which a valid message has arrived. If this connection closes, the core has no other client
 // connection on which it can send notifications of the ends of tasks.
-func (c *Core) IsOnlyClient(conn ConnID) bool {
-	return c.RunningTasks() > 0 && c.clients.isOnlyClient(conn)
+func (c *Core) IsOnlyClient(connID ConnID) bool {
+	return c.RunningTasks() > 0 && c.clients.isOnlyClient(connID)
 }
 
 // ReceiveFromClient handles one message of a client. If the message is invalid, ReceiveFromClient returns an
 // *InvalidMessageError, and Ready returns the effect that sends the error answer to the client. If the
 // connection is not open, ReceiveFromClient returns an error that wraps ErrClientNotConnected.
-func (c *Core) ReceiveFromClient(now placer.Seconds, conn ConnID, msg *protocol.Message) error {
+func (c *Core) ReceiveFromClient(now placer.Seconds, connID ConnID, msg *protocol.Message) error {
 	c.setClock(now)
-	client := c.clients.get(conn)
+	client := c.clients.get(connID)
 	if client == nil {
-		return fmt.Errorf("receive message on client connection %d: %w", conn, ErrClientNotConnected)
+		return fmt.Errorf("receive message on client connection %d: %w", connID, ErrClientNotConnected)
 	}
 	err := c.clientMessages.receive(client, msg)
 	c.runEvents()
--- a/internal/platform/dispatch/harness_test.go
+++ b/internal/platform/dispatch/harness_test.go
@@ -34,7 +34,7 @@
 	// lastNotificationConn is the connection on which the last notification was sent. It is 0 if no
 	// notification was sent or if the client has acknowledged the last one.
 	lastNotificationConn ConnID
-	conn                 ConnID // conn is the connection on which the client sent the launch message.
+	connID               ConnID // connID identifies the client connection of the launch message.
 	deadline             placer.Seconds
 	// withdrawn is set if the client withdrew the request. adoptionRequested is set if the client requested
 	// the adoption of the task.
@@ -104,7 +104,7 @@
 	msg.Set(protocol.Extras, "cores:1;memory:1;service:0000000000000009"+extras)
 	isAdoption := extras != ""
 	deadline := harness.now + placer.Seconds(leftMS/1000)
-	harness.clientRecords[msg.ID] = &clientRecord{conn: conn, deadline: deadline, adoptionRequested: isAdoption, knowsTaskRuns: isAdoption}
+	harness.clientRecords[msg.ID] = &clientRecord{connID: conn, deadline: deadline, adoptionRequested: isAdoption, knowsTaskRuns: isAdoption}
 	harness.receiveFromClient(conn, msg)
 	harness.carryOutEffects()
 	return msg.ID
@@ -120,7 +120,7 @@
 func (harness *coreHarness) withdrawRequest(id protocol.ID) {
 	record := harness.clientRecords[id]
 	record.withdrawn = true
-	harness.receiveFromClient(record.conn, newMessage(protocol.Stop, id, protocol.CauseEnd))
+	harness.receiveFromClient(record.connID, newMessage(protocol.Stop, id, protocol.CauseEnd))
 	harness.carryOutEffects()
 }
 
@@ -182,7 +182,7 @@
 // receiveAsClient records a message that the core sent to a client, and checks the message. A request must
 // be answered at most once and in time, and it must not be answered after its client withdrew it. A client
 // must be notified only once of the end of its running task.
-func (harness *coreHarness) receiveAsClient(conn ConnID, msg protocol.Message) {
+func (harness *coreHarness) receiveAsClient(connID ConnID, msg protocol.Message) {
 	record := harness.clientRecords[msg.ID]
 	if record == nil {
 		harness.t.Fatalf("core sent a client message %v, but no client has sent a request with this ID", msg)
@@ -190,9 +190,9 @@
 	switch {
 	case msg.Kind == protocol.Running:
 		record.answerCount++
-		isUnexpected := record.withdrawn || record.adoptionRequested || conn != record.conn || msg.Body != `"out"`
+		isUnexpected := record.withdrawn || record.adoptionRequested || connID != record.connID || msg.Body != `"out"`
 		if isUnexpected || harness.now > record.deadline+0.01 {
-			harness.t.Fatalf("got Running message %v at time %v, client record %+v, and client connection %d; want a Running message only for an open request, with body \"out\", before the deadline, and on the connection of the request", msg, harness.now, record, conn)
+			harness.t.Fatalf("got Running message %v at time %v, client record %+v, and client connection %d; want a Running message only for an open request, with body \"out\", before the deadline, and on the connection of the request", msg, harness.now, record, connID)
 		}
 		record.knowsTaskRuns = true
 	case record.knowsTaskRuns:
@@ -202,7 +202,7 @@
 		if record.notificationCount > 1 && (record.lastNotificationConn == 0 || harness.core.clients.get(record.lastNotificationConn) != nil) {
 			harness.t.Fatalf("client received message %v as a second notification of the end of its task; want 1 notification, unless its connection closed before the acknowledgement", msg)
 		}
-		record.lastNotificationConn = conn
+		record.lastNotificationConn = connID
 	default:
 		record.answerCount++
 		if record.withdrawn || harness.now > record.deadline+0.011 {
--- a/internal/platform/dispatch/invariants.go
+++ b/internal/platform/dispatch/invariants.go
@@ -51,8 +51,8 @@
 		if taskRuns {
 			return errors.New("an attempt runs the task of the open request")
 		}
-		if conn := t.clients.get(req.conn); conn == nil || !conn.hasOpenRequest(req) {
-			return fmt.Errorf("the open request is missing from the open requests of client connection %d", req.conn)
+		if conn := t.clients.get(req.connID); conn == nil || !conn.hasOpenRequest(req) {
+			return fmt.Errorf("the open request is missing from the open requests of client connection %d", req.connID)
 		}
 	case requestRunning, requestMigrating, requestStopping:
 		if !taskRuns {
--- a/internal/platform/dispatch/node_registry_test.go
+++ b/internal/platform/dispatch/node_registry_test.go
@@ -29,9 +29,9 @@
 				t.Fatalf("NodeUnresponsive stopped %d tasks, want 1", stoppedTasks)
 			}
 			stopRequested := asksNodeToStop(harness.carryOutEffects())
-			newEvents, runningTasks := len(policy.events)-eventsBefore, harness.core.RunningTasks()
-			if record.notificationCount != 1 || !stopRequested || newEvents != 0 || runningTasks != 1 {
-				t.Errorf("after the first call of NodeUnresponsive, got client record %+v, Stop message to the node: %v, %d new events at the placer, and %d running tasks; want notificationCount 1, a Stop message, 0 new events, and 1 running task", record, stopRequested, newEvents, runningTasks)
+			newEventCount, runningTasks := len(policy.events)-eventsBefore, harness.core.RunningTasks()
+			if record.notificationCount != 1 || !stopRequested || newEventCount != 0 || runningTasks != 1 {
+				t.Errorf("after the first call of NodeUnresponsive, got client record %+v, Stop message to the node: %v, %d new events at the placer, and %d running tasks; want notificationCount 1, a Stop message, 0 new events, and 1 running task", record, stopRequested, newEventCount, runningTasks)
 			}
 			if stoppedTasks := harness.core.NodeUnresponsive(harness.now, attempt.Node); stoppedTasks != 0 {
 				t.Errorf("second call of NodeUnresponsive stopped %d tasks, want 0", stoppedTasks)
--- a/internal/platform/dispatch/notification.go
+++ b/internal/platform/dispatch/notification.go
@@ -89,7 +89,7 @@
 // connection. If no client connection is suitable, the notification is sent on the next client connection on
 // which a valid message arrives.
 func (n *notifier) notify(req *request, msg protocol.Message) {
-	n.sendOnAnyConn(req.conn, n.newNotification(msg))
+	n.sendOnAnyConn(req.connID, n.newNotification(msg))
 }
 
 // notifyOnConn sends a notification on the given client connection, which has to be open.
--- a/internal/platform/dispatch/random_test.go
+++ b/internal/platform/dispatch/random_test.go
@@ -119,11 +119,11 @@
 	}
 	id := protocol.ID(1 + driver.draw(int(driver.lastID), "task ID"))
 	record := driver.clientRecords[id]
-	if driver.core.clients.get(record.conn) == nil {
+	if driver.core.clients.get(record.connID) == nil {
 		return
 	}
 	record.withdrawn = record.withdrawn || record.answerCount == 0
-	driver.receiveFromClient(record.conn, newMessage(protocol.Stop, id, protocol.CauseEnd))
+	driver.receiveFromClient(record.connID, newMessage(protocol.Stop, id, protocol.CauseEnd))
 	driver.carryOutEffects()
 }
 
@@ -159,7 +159,7 @@
 	}
 	i := driver.draw(len(driver.conns), "connection")
 	for _, record := range driver.clientRecords {
-		record.withdrawn = record.withdrawn || record.conn == driver.conns[i] && record.answerCount == 0
+		record.withdrawn = record.withdrawn || record.connID == driver.conns[i] && record.answerCount == 0
 	}
 	driver.core.ClientDisconnected(driver.now, driver.conns[i])
 	driver.conns = slices.Delete(driver.conns, i, i+1)
@@ -254,11 +254,11 @@
 	id := protocol.ID(number)
 	record := driver.clientRecords[id]
 	if record == nil {
-		record = &clientRecord{conn: driver.conn, adoptionRequested: true, knowsTaskRuns: true}
+		record = &clientRecord{connID: driver.conn, adoptionRequested: true, knowsTaskRuns: true}
 		driver.clientRecords[id] = record
 	}
 	if driver.adoptionRequested[number] {
-		record.conn = driver.conn
+		record.connID = driver.conn
 	}
 	if record.notificationCount > 0 {
 		return
--- a/internal/platform/dispatch/request.go
+++ b/internal/platform/dispatch/request.go
@@ -11,7 +11,7 @@
 type request struct {
 	taskID   placer.TaskID
 	message  protocol.Message // message is the launch message of the client.
-	conn     ConnID           // conn is the client connection on which the launch message arrived.
+	connID   ConnID           // connID identifies the client connection on which the launch message arrived.
 	class    int
 	deadline placer.Seconds
 	state    requestState
--- a/internal/platform/dispatch/request_table.go
+++ b/internal/platform/dispatch/request_table.go
@@ -38,27 +38,27 @@
 func (t *requestTable) isFull() bool { return len(t.byID) >= maxTasks }
 
 // addNew adds a new placement request and assigns an ID to its task.
-func (t *requestTable) addNew(conn ConnID, msg *protocol.Message, task *placer.Task) *request {
-	req := t.add(conn, msg, task, requestOpen)
+func (t *requestTable) addNew(connID ConnID, msg *protocol.Message, task *placer.Task) *request {
+	req := t.add(connID, msg, task, requestOpen)
 	t.openCount++
 	t.clients.addOpenRequest(req)
 	return req
 }
 
 // addAdopted adds a request whose task already runs, and assigns an ID to the task.
-func (t *requestTable) addAdopted(conn ConnID, msg *protocol.Message, task *placer.Task) *request {
-	req := t.add(conn, msg, task, requestRunning)
+func (t *requestTable) addAdopted(connID ConnID, msg *protocol.Message, task *placer.Task) *request {
+	req := t.add(connID, msg, task, requestRunning)
 	t.clients.recordPlacedTask(req)
 	return req
 }
 
-func (t *requestTable) add(conn ConnID, msg *protocol.Message, task *placer.Task, state requestState) *request {
+func (t *requestTable) add(connID ConnID, msg *protocol.Message, task *placer.Task, state requestState) *request {
 	t.lastTaskID++
 	task.ID = t.lastTaskID
 	req := &request{
 		taskID:   t.lastTaskID,
 		message:  *msg,
-		conn:     conn,
+		connID:   connID,
 		class:    task.Class,
 		deadline: task.Deadline,
 		state:    state,
--- a/internal/platform/dispatch/task.go
+++ b/internal/platform/dispatch/task.go
@@ -30,7 +30,7 @@
 	t.requests.markRunning(req)
 	answer := replyTo(&req.message, protocol.Running, noCause)
 	answer.Body = body
-	t.clients.send(req.conn, answer)
+	t.clients.send(req.connID, answer)
 	t.attempts.postAttemptBound(attempt)
 }
 
