--- a/internal/platform/dispatch/adoption.go
+++ b/internal/platform/dispatch/adoption.go
@@ -16,7 +16,7 @@
 
 // adoption handles adoption requests. An adoption request is a launch message that names the node on which
 // the task already runs. After a scheduler start, clients send one adoption request for each of their running
-// tasks. The type adoption also tracks until when further adoption requests are expected.
+// tasks. The type adoption also determines how long further adoption requests are expected.
 type adoption struct {
 	*sharedState
 	nodes             *nodeRegistry
--- a/internal/platform/dispatch/adoption_test.go
+++ b/internal/platform/dispatch/adoption_test.go
@@ -24,9 +24,9 @@
 	return order
 }
 
-// TestRequestsWaitForAdoptions checks when new requests reach the placer. While a client requests the
-// adoption of its running tasks, a new request must wait until the last adoption request, but not longer than
-// adoptionMaxWait after the first health check. At other times, a new request must reach the placer
+// TestRequestsWaitForAdoptions checks when new requests reach the placer. While a client sends
+// adoption requests for its running tasks, a new request must wait until the last adoption request, but not
+// longer than adoptionMaxWait after the first health check. At other times, a new request must reach the placer
 // immediately.
 func TestRequestsWaitForAdoptions(t *testing.T) {
 	policy := &fixedNodePlacer{node: nodeID(1)}
@@ -100,9 +100,9 @@
 		adoptedAt      placer.Seconds
 		want           placer.Seconds
 	}{
-		{"no health check and no adoption request", nil, 0, adoptionIdleGap},
-		{"one health check and no adoption request", []placer.Seconds{100}, 0, 100 + adoptionIdleGap},
-		{"two health checks and no adoption request", []placer.Seconds{100, 107}, 0, 100 + adoptionIdleGap},
+		{"neither a health check nor an adoption request has arrived", nil, 0, adoptionIdleGap},
+		{"one health check but no adoption request has arrived", []placer.Seconds{100}, 0, 100 + adoptionIdleGap},
+		{"two health checks but no adoption request have arrived", []placer.Seconds{100, 107}, 0, 100 + adoptionIdleGap},
 		{"adoption request arrives within adoptionMaxWait of the health check", []placer.Seconds{100}, 100.5, 100.5 + adoptionIdleGap},
 		{"adoption request arrives later than adoptionMaxWait after the health check", []placer.Seconds{100}, 170, 100 + adoptionMaxWait},
 		{"adoption request arrives before any health check", nil, 170, adoptionMaxWait},
@@ -117,7 +117,7 @@
 			if test.adoptedAt > 0 {
 				shared.setClock(test.adoptedAt)
 				if err := adopter.adopt(nil, &protocol.Message{}, parsedRequest{adoptedFromUID: "unlisted"}); err == nil {
-					t.Fatal("a task was adopted although its node is not in the node registry")
+					t.Fatal("adopt returned no error for a task whose node is not in the node registry, want an error")
 				}
 			}
 
--- a/internal/platform/dispatch/attempt.go
+++ b/internal/platform/dispatch/attempt.go
@@ -10,9 +10,9 @@
 // for the absence of a connection.
 type NodeConnID uint64
 
-// Attempt is one attempt to start a task on a node. An adopted task also has an Attempt, which is in state
-// attemptRunning from the start. Attempts are owned by attemptTable. The caller of the core may write only
-// the field NodeConn.
+// Attempt is one attempt to start a task on a node. An adopted task also has an Attempt. That Attempt is in
+// state attemptRunning from the start. Attempts are owned by attemptTable. The caller of the core may write
+// only the field NodeConn.
 type Attempt struct {
 	Node    placer.NodeID
 	Message protocol.Message // Message is the launch message that is sent to the node.
@@ -33,7 +33,7 @@
 // Live reports whether the attempt is live: either it waits for the answer of its node, or its task runs.
 func (a *Attempt) Live() bool { return a.state.isLive() }
 
-// ClientConn returns the client connection on which the placement request of the attempt arrived.
+// ClientConn returns the ID of the client connection on which the placement request of the attempt arrived.
 func (a *Attempt) ClientConn() ConnID { return a.request.connID }
 
 // Pending reports whether the attempt has not been sent yet.
--- a/internal/platform/dispatch/characterization_directed_test.go
+++ b/internal/platform/dispatch/characterization_directed_test.go
@@ -94,7 +94,8 @@
 	recorder.digestEffectsAndState(0)
 }
 
-// advanceInOneCall advances the clock by the given duration and then fires all due timers in one call of Advance.
+// advanceInOneCall advances the clock by the given duration and then fires all due timers in one call of
+// Core.Advance.
 func (recorder *scriptRecorder) advanceInOneCall(duration placer.Seconds, step int) {
 	recorder.now += duration
 	recorder.core.Advance(recorder.now)
@@ -111,8 +112,8 @@
 }
 
 // runRedelivery closes client connections on which notifications were sent. The core then has to send some of
-// these notifications again. The variants cover clients that do and do not acknowledge notifications,
-// intervals close to the time limits of notifications, and the case that no client connection is left.
+// these notifications again. The variants cover clients that acknowledge notifications and clients that do
+// not, intervals close to the time limits of notifications, and the case that no client connection is left.
 func runRedelivery(t *testing.T) []string {
 	t.Helper()
 	start := func(variant int) *scriptRecorder {
@@ -151,7 +152,8 @@
 }
 
 // runAdoptionWait sends new placement requests while another client still sends adoption requests. It
-// continues beyond adoptionMaxWait, after which new placement requests no longer wait for adoption requests.
+// continues beyond adoptionMaxWait. After that time, new placement requests no longer wait for adoption
+// requests.
 func runAdoptionWait(t *testing.T) []string {
 	t.Helper()
 	recorder := scenarioSetup{seed: 300, label: "handover", connections: 2}.start(t)
@@ -175,8 +177,8 @@
 }
 
 // runNewIncarnation sends an adoption request of a client for a task, and then starts a new incarnation of the
-// node of that task. The variants differ in the start time of the new incarnation, which ranges from the time
-// of the adoption to shortly after incarnationTolerance has passed.
+// node of that task. The start time of the new incarnation differs between the variants. It ranges from the
+// time of the adoption to shortly after incarnationTolerance has passed.
 func runNewIncarnation(t *testing.T) []string {
 	t.Helper()
 	// restartDelaysMS contains the time from the adoption to the new incarnation, for each variant.
@@ -244,8 +246,8 @@
 }
 
 // answerLate makes a node accept the first of the sent attempts at the time answerTime. If connectionLost is
-// set, the connection to the node is lost before the node accepts the attempt. The client then requests the
-// adoption of the task, which runs on that node.
+// set, the connection to the node is lost before the node accepts the attempt. The task then
+// runs on that node, and the client requests the adoption of the task.
 func (recorder *scriptRecorder) answerLate(answerTime placer.Seconds, connectionLost bool) {
 	attempt := recorder.sentAttempts[0]
 	recorder.now = max(recorder.now, answerTime)
--- a/internal/platform/dispatch/characterization_script_test.go
+++ b/internal/platform/dispatch/characterization_script_test.go
@@ -330,7 +330,7 @@
 
 // completeNodeList returns the entries of a complete node list. The entry of the node with the number
 // changedNode has the state newState. If newState is "terminated", the list contains no entry for this node.
-// All other nodes have the states of their last entries, which nodeStates contains.
+// The entries of all other nodes repeat the states that nodeStates contains.
 func (recorder *scriptRecorder) completeNodeList(changedNode int, newState string) (list []string) {
 	for i := 1; i <= scriptNodeCount; i++ {
 		switch {
--- a/internal/platform/dispatch/characterization_test.go
+++ b/internal/platform/dispatch/characterization_test.go
@@ -87,7 +87,7 @@
 		{name: "first of two events has no node list", initialEvents: eventList(9, `{"no":3},`+dispatch.DiscoveryEventJSON(7, true, firstNode, secondNode)), lastEvent: 9, nodeCount: 2},
 		{name: "node has no UID", initialEvents: eventList(9, dispatch.DiscoveryEventJSON(7, true, `{"uid":"","state":"in_service"}`)), invalid: true},
 		{name: "node has an unknown state", initialEvents: eventList(9, dispatch.DiscoveryEventJSON(7, true, `{"uid":"x","state":"gone"}`)), invalid: true},
-		{name: "JSON is truncated", initialEvents: `{"no":`, invalid: true},
+		{name: "JSON text of the initial events is truncated", initialEvents: `{"no":`, invalid: true},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			policy, err := placer.New(settings.Placer, 1)
--- a/internal/platform/dispatch/client_message.go
+++ b/internal/platform/dispatch/client_message.go
@@ -75,7 +75,7 @@
 	return nil
 }
 
-// rejectDuplicate rejects a launch message whose ID is the ID of an existing request, because two requests
+// rejectDuplicate rejects a launch message that has the same ID as an existing request, because two requests
 // with the same ID cannot both be answered. If the existing request is open and arrived on the same client
 // connection, the existing request is withdrawn.
 func (h *clientMessageHandler) rejectDuplicate(client *clientConn, existingRequest *request, msg *protocol.Message) error {
--- a/internal/platform/dispatch/client_registry.go
+++ b/internal/platform/dispatch/client_registry.go
@@ -20,7 +20,7 @@
 	// It is 0 if there is no such task.
 	lastPlacedAt       placer.Seconds
 	lastValidMessageAt placer.Seconds // lastValidMessageAt is 0 until a valid message has arrived.
-	notifications      deliveryLog    // Only notifier writes this log of notifications.
+	notifications      deliveryLog    // Only the notifier writes this log of notifications.
 }
 
 // hasSentValidMessage reports whether a valid message has arrived on the connection.
--- a/internal/platform/dispatch/client_registry_test.go
+++ b/internal/platform/dispatch/client_registry_test.go
@@ -10,16 +10,16 @@
 		name          string
 		conns         []clientConn // conns contains the open connections. Their IDs are 1, 2 and so on.
 		preferredConn ConnID
-		wantConn      ConnID // wantConn is 0 if no connection is selected.
+		wantConn      ConnID // wantConn is the connection that selectConn must return, or 0 for none.
 		onlyClient    ConnID // onlyClient is the only connection with a valid message, or 0 if there is none.
 	}{
-		{"no connection is open", nil, 1, 0, 0},
-		{"no valid message has arrived on any connection", []clientConn{connWithoutValidMessage, connWithoutValidMessage}, 9, 0, 0},
-		{"preferred connection is open but no valid message has arrived on it", []clientConn{connWithoutValidMessage, {lastValidMessageAt: 5}}, 1, 1, 2},
-		{"a valid message has arrived on only one connection", []clientConn{connWithoutValidMessage, {lastValidMessageAt: 5}, connWithoutValidMessage}, 9, 2, 2},
-		{"connection with the most recently placed task is selected", []clientConn{{lastValidMessageAt: 5, lastPlacedAt: 4}, {lastValidMessageAt: 6, lastPlacedAt: 3}}, 9, 1, 0},
-		{"connection with the most recent valid message is selected if the placement times are equal", []clientConn{{lastValidMessageAt: 6, lastPlacedAt: 3}, {lastValidMessageAt: 5, lastPlacedAt: 3}}, 9, 1, 0},
-		{"connection with the highest ID is selected if the placement times and the message times are equal", []clientConn{{lastValidMessageAt: 6}, {lastValidMessageAt: 6}}, 9, 2, 0},
+		{"no client connection is open", nil, 1, 0, 0},
+		{"no valid message has arrived on any client connection", []clientConn{connWithoutValidMessage, connWithoutValidMessage}, 9, 0, 0},
+		{"preferred client connection is open but no valid message has arrived on it", []clientConn{connWithoutValidMessage, {lastValidMessageAt: 5}}, 1, 1, 2},
+		{"a valid message has arrived on only one client connection", []clientConn{connWithoutValidMessage, {lastValidMessageAt: 5}, connWithoutValidMessage}, 9, 2, 2},
+		{"client connection with the most recently placed task is selected", []clientConn{{lastValidMessageAt: 5, lastPlacedAt: 4}, {lastValidMessageAt: 6, lastPlacedAt: 3}}, 9, 1, 0},
+		{"client connection with the most recent valid message is selected if the placement times are equal", []clientConn{{lastValidMessageAt: 6, lastPlacedAt: 3}, {lastValidMessageAt: 5, lastPlacedAt: 3}}, 9, 1, 0},
+		{"client connection with the highest ID is selected if the placement times and the message times are equal", []clientConn{{lastValidMessageAt: 6}, {lastValidMessageAt: 6}}, 9, 2, 0},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			registry := newClientRegistry(&sharedState{})
--- a/internal/platform/dispatch/core.go
+++ b/internal/platform/dispatch/core.go
@@ -242,13 +242,13 @@
 }
 
 // NodeUnresponsive stops the tasks that run on an unresponsive node. It skips the tasks that the node was
-// already asked to stop, and returns the number of the other tasks. The clients of the tasks are notified
-// immediately. The tasks may still be running if the node is only partitioned from the
-// network, so the node is asked to stop the tasks as soon as it can be reached. The core reports the end of a
-// task to the placer only when the node confirms that it stopped the task, or after notificationRetention. If
-// the placer were told earlier, it would count the capacity of the task as free, although the node may come
-// back and still run the task. The placer could then exceed the limit on the number of tasks of a service in
-// one failure domain.
+// already asked to stop, and returns the number of the other tasks. The clients of these other tasks are
+// notified immediately. The tasks may still be running if the node is only partitioned from the network, so
+// the node is asked to stop the tasks as soon as it can be reached. The core reports the end of a task to the
+// placer only when the node confirms that it stopped the task, or after notificationRetention. If the placer
+// were told earlier, it would count the capacity of the task as free, although the node may come back and
+// still run the task. The placer could then exceed the limit on the number of tasks of a service in one
+// failure domain.
 func (c *Core) NodeUnresponsive(now placer.Seconds, id placer.NodeID) (stoppedTasks int) {
 	c.setClock(now)
 	if node := c.nodes.get(id); node != nil {
--- a/internal/platform/dispatch/effect.go
+++ b/internal/platform/dispatch/effect.go
@@ -15,7 +15,7 @@
 	// SendToNode requires the caller to send Message to the node of Attempt. The caller uses the connection
 	// on which Attempt was sent if that connection is open, otherwise any connection to the node.
 	SendToNode
-	// ConnectNode requires the caller to connect to the node of Attempt, which runs an adopted task. The node
+	// ConnectNode requires the caller to connect to the node of Attempt. The node runs an adopted task and
 	// needs a connection to report the end of the task.
 	ConnectNode
 	// NodesChanged reports that the set of nodes or their addresses may have changed.
--- a/internal/platform/dispatch/export_test.go
+++ b/internal/platform/dispatch/export_test.go
@@ -8,7 +8,7 @@
 	DiscoveryEventJSON = discoveryEventJSON
 )
 
-// IllegalTransitions returns the number of state transitions that the state tables do not allow.
+// IllegalTransitions returns how many state transitions were made although the state tables do not allow them.
 func (c *Core) IllegalTransitions() int {
 	return c.requests.illegalTransitions + c.attempts.illegalTransitions
 }
--- a/internal/platform/dispatch/harness_test.go
+++ b/internal/platform/dispatch/harness_test.go
@@ -66,8 +66,8 @@
 	return harness
 }
 
-// sentAttempt creates a core and sends an attempt of a new request to node 1, which does not answer yet. It
-// returns the harness of the core, the placer that the core uses, and the attempt.
+// sentAttempt creates a core and sends an attempt of a new request to node 1. The node does not answer yet.
+// The function returns the harness of the core, the placer that the core uses, and the attempt.
 func sentAttempt(t *testing.T, class string) (*coreHarness, *fixedNodePlacer, *Attempt) {
 	t.Helper()
 	policy := &fixedNodePlacer{node: nodeID(1)}
@@ -136,7 +136,7 @@
 // receiveFromClient passes a valid message of a client to the core. It does not call carryOutEffects.
 func (harness *coreHarness) receiveFromClient(conn ConnID, msg protocol.Message) {
 	if err := harness.core.ReceiveFromClient(harness.now, conn, &msg); err != nil {
-		harness.t.Fatalf("core rejected the valid message %v on client connection %d: %v", msg, conn, err)
+		harness.t.Fatalf("core rejected the valid message %v on client connection %d with error %v, want no error", msg, conn, err)
 	}
 }
 
@@ -185,7 +185,7 @@
 func (harness *coreHarness) receiveAsClient(connID ConnID, msg protocol.Message) {
 	record := harness.clientRecords[msg.ID]
 	if record == nil {
-		harness.t.Fatalf("core sent a client message %v, but no client has sent a request with this ID", msg)
+		harness.t.Fatalf("core sent message %v to a client, but no client has sent a request with the ID of the message", msg)
 	}
 	switch {
 	case msg.Kind == protocol.Running:
@@ -200,7 +200,7 @@
 		// A second notification is allowed only if the connection of the first notification closed before the
 		// client acknowledged the first notification.
 		if record.notificationCount > 1 && (record.lastNotificationConn == 0 || harness.core.clients.get(record.lastNotificationConn) != nil) {
-			harness.t.Fatalf("client received message %v as a second notification of the end of its task; want 1 notification, unless its connection closed before the acknowledgement", msg)
+			harness.t.Fatalf("client received message %v as a second notification of the end of its task; want no second notification, unless the connection of the first one closed before the client acknowledged it", msg)
 		}
 		record.lastNotificationConn = connID
 	default:
@@ -262,7 +262,7 @@
 	harness.lastEventNumber++
 	ok, err := harness.core.ReceiveDiscoveryEvent(harness.now, []byte(discoveryEventJSON(harness.lastEventNumber, complete, nodes...)))
 	if !ok || err != nil {
-		harness.t.Fatalf("discovery event %d was not applied: ReceiveDiscoveryEvent returned ok %v and error %v", harness.lastEventNumber, ok, err)
+		harness.t.Fatalf("discovery event %d was not applied: ReceiveDiscoveryEvent returned ok %v and error %v, want ok and no error", harness.lastEventNumber, ok, err)
 	}
 }
 
--- a/internal/platform/dispatch/invariants.go
+++ b/internal/platform/dispatch/invariants.go
@@ -52,7 +52,7 @@
 			return errors.New("an attempt runs the task of the open request")
 		}
 		if conn := t.clients.get(req.connID); conn == nil || !conn.hasOpenRequest(req) {
-			return fmt.Errorf("the open request is missing from the open requests of client connection %d", req.connID)
+			return fmt.Errorf("the open request is missing from the set of open requests of client connection %d", req.connID)
 		}
 	case requestRunning, requestMigrating, requestStopping:
 		if !taskRuns {
--- a/internal/platform/dispatch/invariants_test.go
+++ b/internal/platform/dispatch/invariants_test.go
@@ -24,18 +24,18 @@
 			core.requests.byID[runningRequest.message.ID] = openRequest
 		}},
 		{"openCount of the request table is too high", "1 requests are open, but openCount is 2 and the client connections have 1 open requests", func(core *Core, _, _ *request) { core.requests.openCount++ }},
-		{"open request is missing from the open requests of its connection", "the open request is missing from the open requests of client connection", func(core *Core, openRequest, _ *request) { core.clients.removeOpenRequest(openRequest) }},
+		{"open request is missing from the set of open requests of its client connection", "the open request is missing from the set of open requests of client connection", func(core *Core, openRequest, _ *request) { core.clients.removeOpenRequest(openRequest) }},
 		{"open request has a running attempt", "an attempt runs the task of the open request", func(core *Core, openRequest, _ *request) { core.attempts.markRunning(openRequest.lastAttempt()) }},
 		{"request of a running task has no attempt", "no attempt runs the task", func(_ *Core, _, runningRequest *request) { runningRequest.attempts = nil }},
-		{"terminated request was not removed", "the request has ended but was not removed from the request table", func(_ *Core, _, runningRequest *request) { runningRequest.state = requestTerminated }},
-		{"terminated attempt was not removed", "in state terminated is stored under a key with node", func(_ *Core, openRequest, _ *request) { openRequest.lastAttempt().state = attemptTerminated }},
-		{"running attempt is missing from the running attempts of its node", "in state running; the node's set of running attempts contains the attempt: got false, want true if and only if the state is running", func(core *Core, _, runningRequest *request) {
+		{"terminated request was not removed from the request table", "the request has ended but was not removed from the request table", func(_ *Core, _, runningRequest *request) { runningRequest.state = requestTerminated }},
+		{"terminated attempt was not removed from the attempt table", "in state terminated is stored under a key with node", func(_ *Core, openRequest, _ *request) { openRequest.lastAttempt().state = attemptTerminated }},
+		{"running attempt is missing from the set of running attempts of its node", "in state running; the node's set of running attempts contains the attempt: got false, want true if and only if the state is running", func(core *Core, _, runningRequest *request) {
 			core.nodes.removeRunningAttempt(runningRequest.lastAttempt())
 		}},
-		{"unanswered attempt is in the running attempts of its node", "in state sent; the node's set of running attempts contains the attempt: got true, want true if and only if the state is running", func(core *Core, openRequest, _ *request) {
+		{"unanswered attempt is in the set of running attempts of its node", "in state sent; the node's set of running attempts contains the attempt: got true, want true if and only if the state is running", func(core *Core, openRequest, _ *request) {
 			core.nodes.addRunningAttempt(openRequest.lastAttempt())
 		}},
-		{"running attempt is in the running attempts of several nodes", "in state running; want only attempts in state running that were sent to that node or adopted on it", func(core *Core, _, runningRequest *request) {
+		{"running attempt is in the sets of running attempts of several nodes", "in state running; want only attempts in state running that were sent to that node or adopted on it", func(core *Core, _, runningRequest *request) {
 			for _, node := range core.nodes.nodes {
 				node.runningAttempts[runningRequest.lastAttempt()] = struct{}{}
 			}
--- a/internal/platform/dispatch/node_registry.go
+++ b/internal/platform/dispatch/node_registry.go
@@ -16,7 +16,7 @@
 	// terminatedNodeRetention is how long a terminated node is kept in the node registry.
 	terminatedNodeRetention placer.Seconds = 60.0
 	// incarnationTolerance allows for inexact clocks and start times. A task belongs to an earlier
-	// incarnation of its node only if the node started after the task and the difference is more than this time.
+	// incarnation of its node only if the node started after the task, and later by more than this time.
 	incarnationTolerance placer.Seconds = 1.0
 )
 
--- a/internal/platform/dispatch/node_registry_test.go
+++ b/internal/platform/dispatch/node_registry_test.go
@@ -85,7 +85,7 @@
 		ok, invalid bool
 		lastEvent   uint64
 	}{
-		{"event has the next number", discoveryEventJSON(2, false, nodeJSON(4, "in_service", 0)), true, false, 2},
+		{"event number is the next expected number", discoveryEventJSON(2, false, nodeJSON(4, "in_service", 0)), true, false, 2},
 		{"event was already applied", discoveryEventJSON(2, false, nodeJSON(4, "terminated", 0)), true, false, 2},
 		{"event number is higher than the next expected number", discoveryEventJSON(4, false, nodeJSON(4, "terminated", 0)), false, false, 2},
 		{"JSON text of the event is truncated", discoveryEventJSON(3, false, nodeJSON(4, "terminating", 0))[:40], false, true, 2},
--- a/internal/platform/dispatch/notification.go
+++ b/internal/platform/dispatch/notification.go
@@ -47,7 +47,8 @@
 // require clients to acknowledge notifications.
 type deliveryLog struct {
 	unacknowledgedNotifications []notification // The client has not acknowledged these notifications.
-	clientAcknowledges          bool           // The client has acknowledged at least one notification.
+	// clientAcknowledges is set if the client has acknowledged at least one notification.
+	clientAcknowledges bool
 }
 
 // add adds a notification that was sent, and removes the notifications that have expired.
--- a/internal/platform/dispatch/notification_test.go
+++ b/internal/platform/dispatch/notification_test.go
@@ -63,14 +63,14 @@
 		closedAfter                                                              placer.Seconds
 		want                                                                     int
 	}{
-		{name: "connection closes shortly after the notification", closedAfter: 0.01, want: 1},
-		{name: "connection closes shortly after the notification while another connection is open", closedAfter: 0.01, want: 1, otherConnOpen: true},
-		{name: "connection closes long after the notification", closedAfter: 1.5, want: 0},
+		{name: "client connection closes shortly after the notification", closedAfter: 0.01, want: 1},
+		{name: "client connection closes shortly after the notification while another client connection is open", closedAfter: 0.01, want: 1, otherConnOpen: true},
+		{name: "client connection closes long after the notification", closedAfter: 1.5, want: 0},
 		{name: "connection of a client that acknowledges notifications closes long after an unacknowledged notification", clientAcknowledges: true, closedAfter: 1.5, want: 1},
-		{name: "connection closes after the client acknowledged the notification", clientAcknowledges: true, notificationAcknowledged: true, closedAfter: 0.01, want: 0},
-		{name: "connection closes shortly after a Migrate message", isMigration: true, closedAfter: 0.01, want: 1},
-		{name: "connection closes long after a Migrate message", clientAcknowledges: true, isMigration: true, closedAfter: 1.5, want: 0},
-		{name: "connection closes later than notificationRetention after the notification", clientAcknowledges: true, closedAfter: 9, want: 0},
+		{name: "client connection closes after the client acknowledged the notification", clientAcknowledges: true, notificationAcknowledged: true, closedAfter: 0.01, want: 0},
+		{name: "client connection closes shortly after a Migrate message", isMigration: true, closedAfter: 0.01, want: 1},
+		{name: "client connection closes long after a Migrate message", clientAcknowledges: true, isMigration: true, closedAfter: 1.5, want: 0},
+		{name: "client connection closes later than notificationRetention after the notification", clientAcknowledges: true, closedAfter: 9, want: 0},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			harness, _, attempt := runningAttempt(t, "seats")
--- a/internal/platform/dispatch/request_parser.go
+++ b/internal/platform/dispatch/request_parser.go
@@ -90,8 +90,8 @@
 	return tenant, nil
 }
 
-// parseExtras parses the field Extras, which is a list of name:value pairs, and skips the pairs with unknown
-// names. It returns how many of the pairs specify the cores or the memory of the task.
+// parseExtras parses the list of name:value pairs in the field Extras. It skips the pairs with unknown names,
+// and returns how many of the pairs specify the cores or the memory of the task.
 func (p *parsedRequest) parseExtras(msg *protocol.Message) (resourceCount int, err error) {
 	for part := range strings.SplitSeq(msg.Get(protocol.Extras), ";") {
 		name, value, _ := strings.Cut(part, ":")
--- a/internal/platform/dispatch/request_parser_test.go
+++ b/internal/platform/dispatch/request_parser_test.go
@@ -24,12 +24,12 @@
 	}{
 		{"request has no optional fields", func(*protocol.Message) {}, func(*parsedRequest) {}},
 		{"request names the second task class of the settings", setField(protocol.Class, "seats"), func(want *parsedRequest) { want.task.Class = 1 }},
-		{"remaining time is 0", setField(protocol.TimeLeft, "0"), func(want *parsedRequest) { want.task.Deadline = 100 }},
-		{"remaining time is at the maximum", setField(protocol.TimeLeft, "8e3"), func(want *parsedRequest) { want.task.Deadline = 108 }},
+		{"remaining time in the launch message is 0", setField(protocol.TimeLeft, "0"), func(want *parsedRequest) { want.task.Deadline = 100 }},
+		{"remaining time in the launch message is at the limit", setField(protocol.TimeLeft, "8e3"), func(want *parsedRequest) { want.task.Deadline = 108 }},
 		{"request is a retry", setField(protocol.Extras, "memory:0.5;again:1;cores:0"), func(want *parsedRequest) {
 			want.task.Cores, want.task.Memory, want.task.IsRetry = 0, 0.5, true
 		}},
-		{"extras contain a service and an unknown name", setField(protocol.Extras, "cores:1;;x:y;memory:1;service:00000000000000aF"), func(want *parsedRequest) {
+		{"extras contain a service and a pair with an unknown name", setField(protocol.Extras, "cores:1;;x:y;memory:1;service:00000000000000aF"), func(want *parsedRequest) {
 			want.task.Service = 0xaf
 		}},
 		{"adoption request is for a task without a planned end", func(msg *protocol.Message) {
--- a/internal/platform/dispatch/request_state.go
+++ b/internal/platform/dispatch/request_state.go
@@ -2,8 +2,8 @@
 
 // requestState is the state of a placement request. The states from requestMigrating on are final for the
 // client: the client has stopped waiting for an answer and for the notification that its task has ended. There
-// is one exception: if the node does not confirm that it stopped a task for a migration, the client is notified of
-// the end of that task.
+// is one exception: if the node does not confirm that it stopped a task for a migration, the client is notified
+// of the end of that task.
 type requestState uint8
 
 const (
--- a/internal/platform/dispatch/request_test.go
+++ b/internal/platform/dispatch/request_test.go
@@ -28,12 +28,12 @@
 		{"tenant is unknown", InvalidTenant, setField(protocol.Tenant, "north")},
 		{"field Key is not an ID", InvalidKey, setField(protocol.Key, "x")},
 		{"launch message has no body", InvalidBody, func(msg *protocol.Message) { msg.Body = "" }},
-		{"remaining time is negative", InvalidTimeLeft, setField(protocol.TimeLeft, "-1")},
-		{"remaining time is just above the limit", InvalidTimeLeft, setField(protocol.TimeLeft, "8001")},
-		{"remaining time is far above the limit", InvalidTimeLeft, setField(protocol.TimeLeft, "1e300")},
-		{"remaining time is NaN", InvalidTimeLeft, setField(protocol.TimeLeft, "NaN")},
-		{"number of cores is negative", InvalidExtras, setField(protocol.Extras, "cores:-1;memory:1")},
-		{"number of cores is infinite", InvalidExtras, setField(protocol.Extras, "cores:Inf;memory:1")},
+		{"remaining time in the launch message is negative", InvalidTimeLeft, setField(protocol.TimeLeft, "-1")},
+		{"remaining time in the launch message is just above the limit", InvalidTimeLeft, setField(protocol.TimeLeft, "8001")},
+		{"remaining time in the launch message is far above the limit", InvalidTimeLeft, setField(protocol.TimeLeft, "1e300")},
+		{"remaining time in the launch message is NaN", InvalidTimeLeft, setField(protocol.TimeLeft, "NaN")},
+		{"number of cores in the extras is negative", InvalidExtras, setField(protocol.Extras, "cores:-1;memory:1")},
+		{"number of cores in the extras is infinite", InvalidExtras, setField(protocol.Extras, "cores:Inf;memory:1")},
 		{"extras do not contain the memory", InvalidExtras, setField(protocol.Extras, "cores:1")},
 		{"service in the extras is not an ID", InvalidExtras, setField(protocol.Extras, "cores:1;memory:1;service:zz")},
 		{"adoption request names an unknown node", InvalidNode, setField(protocol.Extras, "cores:1;memory:1;at:s-77777777")},
@@ -90,7 +90,7 @@
 	harness := newHarness(t, nil)
 	msg := launchMessage(1)
 	if err := harness.core.ReceiveFromClient(harness.now, 42, &msg); !errors.Is(err, ErrClientNotConnected) {
-		t.Errorf("ReceiveFromClient returned %v, want ErrClientNotConnected", err)
+		t.Errorf("ReceiveFromClient returned error %v for a message on a connection that was never opened, want ErrClientNotConnected", err)
 	}
 }
 
--- a/internal/platform/dispatch/state_test.go
+++ b/internal/platform/dispatch/state_test.go
@@ -25,7 +25,7 @@
 			}
 			stateAfter, illegalCount := transition(from, to)
 			if countedAsIllegal := illegalCount == 1; stateAfter != to || countedAsIllegal == legal {
-				t.Errorf("transition from %v to %v: got state %v, got counted as illegal: %v; want the second of the two states, want counted as illegal: true if and only if the state table does not allow the transition", from, to, stateAfter, countedAsIllegal)
+				t.Errorf("transition from %v to %v: got state %v after the transition, got counted as illegal: %v; want the target state after every transition, and want a transition counted as illegal if and only if the state table does not allow it", from, to, stateAfter, countedAsIllegal)
 			}
 		}
 	}
