--- a/internal/platform/dispatch/attempt.go
+++ b/internal/platform/dispatch/attempt.go
@@ -10,9 +10,9 @@
 // for the absence of a connection.
 type NodeConnID uint64
 
-// Attempt is one attempt to start a task on a node. An adopted task also has an Attempt, which is in state
-// attemptRunning from the start. Attempts are owned by attemptTable. The caller of the core may write only
-// the field NodeConn.
+// Attempt is one attempt to start a task on a node. An adopted task also has an Attempt. That Attempt is in
+// state attemptRunning from the start. Attempts are owned by attemptTable. The caller of the core may write
+// only the field NodeConn.
 type Attempt struct {
 	Node    placer.NodeID
 	Message protocol.Message // Message is the launch message that is sent to the node.
@@ -24,8 +24,8 @@
 	number       int // number is the index of the attempt in request.attempts.
 	state        attemptState
 	expiresAt    placer.Seconds // expiresAt is the time at which an unanswered attempt is abandoned.
-	createdAt    placer.Seconds // createdAt is when the placer requested the attempt or the task was adopted.
-	runningSince placer.Seconds // runningSince is when the node's acceptance arrived or the task was adopted.
+	createdAt    placer.Seconds // createdAt is when the placer requested the attempt or when the task was adopted.
+	runningSince placer.Seconds // runningSince is when the node's acceptance arrived or when the task was adopted.
 	timer        *timerqueue.Timer[placer.Seconds]
 	stopSent     bool // stopSent is set if the node was asked to stop the task.
 }
@@ -33,13 +33,13 @@
 // Live reports whether the attempt is live: either it waits for the answer of its node, or its task runs.
 func (a *Attempt) Live() bool { return a.state.isLive() }
 
-// ClientConn returns the client connection on which the placement request of the attempt arrived.
-func (a *Attempt) ClientConn() ConnID { return a.request.conn }
+// ClientConn returns the ID of the client connection on which the placement request of the attempt arrived.
+func (a *Attempt) ClientConn() ConnID { return a.request.connID }
 
 // Pending reports whether the attempt has not been sent yet.
 func (a *Attempt) Pending() bool { return a.state == attemptPending }
 
-// Age returns the time since the placer requested the attempt or the task was adopted.
+// Age returns the time since the placer requested the attempt or, for an adopted task, since the adoption.
 func (a *Attempt) Age(now placer.Seconds) placer.Seconds { return now - a.createdAt }
 
 // Unanswered reports whether the attempt waits for a connection to its node or for the node's answer.
--- a/internal/platform/dispatch/characterization_script_test.go
+++ b/internal/platform/dispatch/characterization_script_test.go
@@ -225,8 +225,8 @@
 	recorder.core.ReceiveFromNode(recorder.now, attempt.Node, msg)
 }
 
-// acceptSentAttempt makes a node accept a random attempt that was sent to the node. The attempt may have
-// ended.
+// acceptSentAttempt makes a node accept a random attempt that was sent to the node. The attempt may already
+// have ended.
 func (recorder *scriptRecorder) acceptSentAttempt() {
 	choices := recorder.sentAttempts
 	unansweredAttempts := slices.DeleteFunc(slices.Clone(recorder.sentAttempts), func(attempt *dispatch.Attempt) bool { return !attempt.Unanswered() })
@@ -330,7 +330,7 @@
 
 // completeNodeList returns the entries of a complete node list. The entry of the node with the number
 // changedNode has the state newState. If newState is "terminated", the list contains no entry for this node.
-// All other nodes have the states of their last entries, which nodeStates contains.
+// The entries of all other nodes repeat the states that nodeStates contains.
 func (recorder *scriptRecorder) completeNodeList(changedNode int, newState string) (list []string) {
 	for i := 1; i <= scriptNodeCount; i++ {
 		switch {
@@ -345,8 +345,8 @@
 	return list
 }
 
-// advanceClock advances the clock by the given duration. It usually runs each timer at the time for which the
-// timer is set. Sometimes it runs all due timers at the end of the duration instead.
+// advanceClock advances the clock by the given duration. It usually fires each timer at the time for which the
+// timer is set. Sometimes it fires all due timers at the end of the duration instead.
 func (recorder *scriptRecorder) advanceClock(duration placer.Seconds) {
 	endTime := recorder.now + duration
 	if recorder.random.IntN(5) == 0 {
--- a/internal/platform/dispatch/client_message.go
+++ b/internal/platform/dispatch/client_message.go
@@ -25,7 +25,7 @@
 	return nil
 }
 
-// handle calls the handler for the kind of the message. It ignores messages of kinds that only nodes send.
+// handle passes a message to the handler for its kind. It ignores messages of kinds that only nodes send.
 func (h *clientMessageHandler) handle(client *clientConn, msg *protocol.Message) error {
 	switch msg.Kind {
 	case protocol.Check:
@@ -75,17 +75,18 @@
 	return nil
 }
 
-// rejectDuplicate rejects a launch message whose ID is the ID of an existing request, because two requests
+// rejectDuplicate rejects a launch message that has the same ID as an existing request, because two requests
 // with the same ID cannot both be answered. If the existing request is open and arrived on the same client
 // connection, the existing request is withdrawn.
 func (h *clientMessageHandler) rejectDuplicate(client *clientConn, existingRequest *request, msg *protocol.Message) error {
-	if existingRequest.conn == client.id && existingRequest.runningAttempt() == nil {
+	if existingRequest.connID == client.id && existingRequest.runningAttempt() == nil {
 		h.requests.withdraw(existingRequest)
 	}
 	return invalidMessage(InvalidIDInUse, "launch message %s has the same ID as an existing request", msg.UID)
 }
 
-// handleStop handles a Stop message, with which a client withdraws an open request or stops a running task.
+// handleStop handles a Stop message. A client sends a Stop message to withdraw an open request or to stop a
+// running task.
 func (h *clientMessageHandler) handleStop(client *clientConn, msg *protocol.Message) error {
 	req := h.requests.getByID(msg.ID)
 	if req == nil {
@@ -95,7 +96,7 @@
 		h.tasks.stopForClient(attempt, clientStopCause(msg))
 		return nil
 	}
-	if req.conn != client.id {
+	if req.connID != client.id {
 		return invalidMessage(InvalidStop, "stop message: request %s is open on another client connection", msg.UID)
 	}
 	h.requests.withdraw(req)
--- a/internal/platform/dispatch/client_registry_test.go
+++ b/internal/platform/dispatch/client_registry_test.go
@@ -10,16 +10,16 @@
 		name          string
 		conns         []clientConn // conns contains the open connections. Their IDs are 1, 2 and so on.
 		preferredConn ConnID
-		wantConn      ConnID // wantConn is 0 if no connection is selected.
-		onlyClient    ConnID // onlyClient is 0 unless a valid message arrived on exactly one connection.
+		wantConn      ConnID // wantConn is the connection that selectConn must return, or 0 for none.
+		onlyClient    ConnID // onlyClient is the only connection with a valid message, or 0 if there is none.
 	}{
-		{"no connection is open", nil, 1, 0, 0},
-		{"no valid message has arrived on any connection", []clientConn{connWithoutValidMessage, connWithoutValidMessage}, 9, 0, 0},
-		{"preferred connection is open but no valid message has arrived on it", []clientConn{connWithoutValidMessage, {lastValidMessageAt: 5}}, 1, 1, 2},
-		{"a valid message has arrived on only one connection", []clientConn{connWithoutValidMessage, {lastValidMessageAt: 5}, connWithoutValidMessage}, 9, 2, 2},
-		{"connection with the most recently placed task is selected", []clientConn{{lastValidMessageAt: 5, lastPlacedAt: 4}, {lastValidMessageAt: 6, lastPlacedAt: 3}}, 9, 1, 0},
-		{"connection with the most recent valid message is selected if the placement times are equal", []clientConn{{lastValidMessageAt: 6, lastPlacedAt: 3}, {lastValidMessageAt: 5, lastPlacedAt: 3}}, 9, 1, 0},
-		{"connection with the highest ID is selected if the placement times and the message times are equal", []clientConn{{lastValidMessageAt: 6}, {lastValidMessageAt: 6}}, 9, 2, 0},
+		{"no client connection is open", nil, 1, 0, 0},
+		{"no valid message has arrived on any client connection", []clientConn{connWithoutValidMessage, connWithoutValidMessage}, 9, 0, 0},
+		{"preferred client connection is open but no valid message has arrived on it", []clientConn{connWithoutValidMessage, {lastValidMessageAt: 5}}, 1, 1, 2},
+		{"a valid message has arrived on only one client connection", []clientConn{connWithoutValidMessage, {lastValidMessageAt: 5}, connWithoutValidMessage}, 9, 2, 2},
+		{"client connection with the most recently placed task is selected", []clientConn{{lastValidMessageAt: 5, lastPlacedAt: 4}, {lastValidMessageAt: 6, lastPlacedAt: 3}}, 9, 1, 0},
+		{"client connection with the most recent valid message is selected if the placement times are equal", []clientConn{{lastValidMessageAt: 6, lastPlacedAt: 3}, {lastValidMessageAt: 5, lastPlacedAt: 3}}, 9, 1, 0},
+		{"client connection with the highest ID is selected if the placement times and the message times are equal", []clientConn{{lastValidMessageAt: 6}, {lastValidMessageAt: 6}}, 9, 2, 0},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			registry := newClientRegistry(&sharedState{})
@@ -34,11 +34,11 @@
 			}
 
 			if selectedConn != test.wantConn {
-				t.Errorf("selectConn returned connection %d, want %d (0 means no connection)", selectedConn, test.wantConn)
+				t.Errorf("selectConn returned connection %d, want connection %d (0 means no connection)", selectedConn, test.wantConn)
 			}
 			for id := ConnID(0); id <= ConnID(len(test.conns)); id++ {
 				if isOnlyClient := registry.isOnlyClient(id); isOnlyClient != (id == test.onlyClient && id != 0) {
-					t.Errorf("isOnlyClient returned %v for client connection %d, want true only for the one connection on which a valid message arrived", isOnlyClient, id)
+					t.Errorf("isOnlyClient returned %v for client connection %d; want true if and only if it is the only connection on which a valid message arrived", isOnlyClient, id)
 				}
 			}
 		})
--- a/internal/platform/dispatch/core.go
+++ b/internal/platform/dispatch/core.go
@@ -60,7 +60,7 @@
 
 // New returns a core whose node registry contains the nodes from initialEvents. The parameter initialEvents
 // contains the discovery events from before the scheduler start. It is the JSON value of the key "known" in
-// the configuration of the platform, or empty. If initialEvents is invalid, the returned error names the
+// the configuration of the platform, or is empty. If initialEvents is invalid, the returned error names the
 // invalid part.
 func New(now placer.Seconds, settings *simconfig.Settings, policy eventqueue.Placer, initialEvents []byte) (*Core, error) {
 	c := &Core{}
@@ -111,7 +111,7 @@
 // NextTimer returns the time at which Advance has to be called next, or positive infinity if no timer is set.
 func (c *Core) NextTimer() placer.Seconds { return c.timers.NextTimeOr(placer.Seconds(math.Inf(1))) }
 
-// Advance sets the clock to now and runs the timers that are due.
+// Advance sets the clock to now and fires the timers that are due.
 func (c *Core) Advance(now placer.Seconds) { c.runDueTimers(now) }
 
 // execute carries out an action of the placer. It ignores an action for a task that the core does not know.
@@ -145,17 +145,17 @@
 }
 
 // ClientConnected adds a new client connection.
-func (c *Core) ClientConnected(now placer.Seconds, conn ConnID) {
+func (c *Core) ClientConnected(now placer.Seconds, connID ConnID) {
 	c.setClock(now)
-	c.clients.connect(conn)
+	c.clients.connect(connID)
 }
 
 // ClientDisconnected removes a client connection. The open requests of the connection are withdrawn, since
 // their answers can no longer be sent. Notifications that the client may not have received are sent again on
 // another client connection.
-func (c *Core) ClientDisconnected(now placer.Seconds, conn ConnID) {
+func (c *Core) ClientDisconnected(now placer.Seconds, connID ConnID) {
 	c.setClock(now)
-	client := c.clients.disconnect(conn)
+	client := c.clients.disconnect(connID)
 	if client == nil {
 		return
 	}
@@ -168,29 +168,29 @@
 
 // ClientRequests returns the number of open requests on a client connection. It also returns whether the task
 // of any request on that connection has started or was adopted.
-func (c *Core) ClientRequests(conn ConnID) (openCount int, hasPlacedTask bool) {
-	client := c.clients.get(conn)
+func (c *Core) ClientRequests(connID ConnID) (openCount int, hasPlacedTask bool) {
+	client := c.clients.get(connID)
 	if client == nil {
 		return 0, false
 	}
 	return len(client.openRequests), client.lastPlacedAt > 0
 }
 
-// IsOnlyClient reports whether tasks are running and the given client connection is the only open one on
-// which a valid message has arrived. If this connection is closed, no other open connection is suitable for
-// notifications of the ends of tasks.
-func (c *Core) IsOnlyClient(conn ConnID) bool {
-	return c.RunningTasks() > 0 && c.clients.isOnlyClient(conn)
+// IsOnlyClient reports whether tasks are running and the given client connection is the only open client
+// connection on which a valid message has arrived. If this connection closes, the core has no other client
+// connection on which it can send notifications of the ends of tasks.
+func (c *Core) IsOnlyClient(connID ConnID) bool {
+	return c.RunningTasks() > 0 && c.clients.isOnlyClient(connID)
 }
 
 // ReceiveFromClient handles one message of a client. If the message is invalid, ReceiveFromClient returns an
 // *InvalidMessageError, and Ready returns the effect that sends the error answer to the client. If the
 // connection is not open, ReceiveFromClient returns an error that wraps ErrClientNotConnected.
-func (c *Core) ReceiveFromClient(now placer.Seconds, conn ConnID, msg *protocol.Message) error {
+func (c *Core) ReceiveFromClient(now placer.Seconds, connID ConnID, msg *protocol.Message) error {
 	c.setClock(now)
-	client := c.clients.get(conn)
+	client := c.clients.get(connID)
 	if client == nil {
-		return fmt.Errorf("receive message on client connection %d: %w", conn, ErrClientNotConnected)
+		return fmt.Errorf("receive message on client connection %d: %w", connID, ErrClientNotConnected)
 	}
 	err := c.clientMessages.receive(client, msg)
 	c.runEvents()
@@ -215,8 +215,8 @@
 	c.runEvents()
 }
 
-// ConnectionLost tells the core that the connection on which an attempt was sent has closed. If the node has
-// not answered the attempt, the attempt ends with an unknown outcome.
+// ConnectionLost tells the core that the node connection on which an attempt was sent has closed. If the node
+// has not answered the attempt, the attempt ends with an unknown outcome.
 func (c *Core) ConnectionLost(now placer.Seconds, attempt *Attempt) {
 	c.setClock(now)
 	c.attempts.handleConnectionLoss(attempt)
@@ -241,13 +241,14 @@
 	c.runEvents()
 }
 
-// NodeUnresponsive stops all tasks that run on an unresponsive node and returns their number. The clients of
-// the tasks are notified immediately. The tasks may still be running if the node is only partitioned from the
-// network, so the node is asked to stop the tasks as soon as it can be reached. The core reports the end of a
-// task to the placer only when the node confirms that it stopped the task, or after notificationRetention. If
-// the placer were told earlier, it would count the capacity of the task as free, although the node may come
-// back and still run the task. The placer could then exceed the limit on the number of tasks of a service in
-// one failure domain.
+// NodeUnresponsive stops the tasks that run on an unresponsive node. It skips the tasks that the node was
+// already asked to stop, and returns the number of the other tasks. The clients of these other tasks are
+// notified immediately. The tasks may still be running if the node is only partitioned from the network, so
+// the node is asked to stop the tasks as soon as it can be reached. The core reports the end of a task to the
+// placer only when the node confirms that it stopped the task, or after notificationRetention. If the placer
+// were told earlier, it would count the capacity of the task as free, although the node may come back and
+// still run the task. The placer could then exceed the limit on the number of tasks of a service in one
+// failure domain.
 func (c *Core) NodeUnresponsive(now placer.Seconds, id placer.NodeID) (stoppedTasks int) {
 	c.setClock(now)
 	if node := c.nodes.get(id); node != nil {
--- a/internal/platform/dispatch/harness_test.go
+++ b/internal/platform/dispatch/harness_test.go
@@ -34,7 +34,7 @@
 	// lastNotificationConn is the connection on which the last notification was sent. It is 0 if no
 	// notification was sent or if the client has acknowledged the last one.
 	lastNotificationConn ConnID
-	conn                 ConnID // conn is the connection on which the client sent the launch message.
+	connID               ConnID // connID identifies the client connection of the launch message.
 	deadline             placer.Seconds
 	// withdrawn is set if the client withdrew the request. adoptionRequested is set if the client requested
 	// the adoption of the task.
@@ -66,8 +66,8 @@
 	return harness
 }
 
-// sentAttempt creates a core and sends an attempt of a new request to node 1, which does not answer yet. It
-// returns the harness of the core, the placer that the core uses, and the attempt.
+// sentAttempt creates a core and sends an attempt of a new request to node 1. The node does not answer yet.
+// The function returns the harness of the core, the placer that the core uses, and the attempt.
 func sentAttempt(t *testing.T, class string) (*coreHarness, *fixedNodePlacer, *Attempt) {
 	t.Helper()
 	policy := &fixedNodePlacer{node: nodeID(1)}
@@ -104,14 +104,14 @@
 	msg.Set(protocol.Extras, "cores:1;memory:1;service:0000000000000009"+extras)
 	isAdoption := extras != ""
 	deadline := harness.now + placer.Seconds(leftMS/1000)
-	harness.clientRecords[msg.ID] = &clientRecord{conn: conn, deadline: deadline, adoptionRequested: isAdoption, knowsTaskRuns: isAdoption}
+	harness.clientRecords[msg.ID] = &clientRecord{connID: conn, deadline: deadline, adoptionRequested: isAdoption, knowsTaskRuns: isAdoption}
 	harness.receiveFromClient(conn, msg)
 	harness.carryOutEffects()
 	return msg.ID
 }
 
-// requestAdoption makes a client request the adoption of a task that runs on a node, and returns the ID of
-// the task.
+// requestAdoption sends an adoption request of a client for a task that runs on the given node, and returns
+// the ID of the task.
 func (harness *coreHarness) requestAdoption(conn ConnID, node int) protocol.ID {
 	return harness.sendLaunch(conn, "seats", longRunningMS, adoptionExtras(node))
 }
@@ -120,7 +120,7 @@
 func (harness *coreHarness) withdrawRequest(id protocol.ID) {
 	record := harness.clientRecords[id]
 	record.withdrawn = true
-	harness.receiveFromClient(record.conn, newMessage(protocol.Stop, id, protocol.CauseEnd))
+	harness.receiveFromClient(record.connID, newMessage(protocol.Stop, id, protocol.CauseEnd))
 	harness.carryOutEffects()
 }
 
@@ -136,7 +136,7 @@
 // receiveFromClient passes a valid message of a client to the core. It does not call carryOutEffects.
 func (harness *coreHarness) receiveFromClient(conn ConnID, msg protocol.Message) {
 	if err := harness.core.ReceiveFromClient(harness.now, conn, &msg); err != nil {
-		harness.t.Fatalf("core rejected the valid message %v on client connection %d: %v", msg, conn, err)
+		harness.t.Fatalf("core rejected the valid message %v on client connection %d with error %v, want no error", msg, conn, err)
 	}
 }
 
@@ -182,17 +182,17 @@
 // receiveAsClient records a message that the core sent to a client, and checks the message. A request must
 // be answered at most once and in time, and it must not be answered after its client withdrew it. A client
 // must be notified only once of the end of its running task.
-func (harness *coreHarness) receiveAsClient(conn ConnID, msg protocol.Message) {
+func (harness *coreHarness) receiveAsClient(connID ConnID, msg protocol.Message) {
 	record := harness.clientRecords[msg.ID]
 	if record == nil {
-		harness.t.Fatalf("core sent message %v about a request that no client has sent", msg)
+		harness.t.Fatalf("core sent message %v to a client, but no client has sent a request with the ID of the message", msg)
 	}
 	switch {
 	case msg.Kind == protocol.Running:
 		record.answerCount++
-		isUnexpected := record.withdrawn || record.adoptionRequested || conn != record.conn || msg.Body != `"out"`
+		isUnexpected := record.withdrawn || record.adoptionRequested || connID != record.connID || msg.Body != `"out"`
 		if isUnexpected || harness.now > record.deadline+0.01 {
-			harness.t.Fatalf("client received Running message %v at time %v, client record is %+v, message arrived on connection %d; want a Running message only for an open request, with body \"out\", in time and on the connection of the request", msg, harness.now, record, conn)
+			harness.t.Fatalf("got Running message %v at time %v, client record %+v, and client connection %d; want a Running message only for an open request, with body \"out\", before the deadline, and on the connection of the request", msg, harness.now, record, connID)
 		}
 		record.knowsTaskRuns = true
 	case record.knowsTaskRuns:
@@ -200,17 +200,17 @@
 		// A second notification is allowed only if the connection of the first notification closed before the
 		// client acknowledged the first notification.
 		if record.notificationCount > 1 && (record.lastNotificationConn == 0 || harness.core.clients.get(record.lastNotificationConn) != nil) {
-			harness.t.Fatalf("client received message %v, which is a second notification of the end of its task", msg)
+			harness.t.Fatalf("client received message %v as a second notification of the end of its task; want no second notification, unless the connection of the first one closed before the client acknowledged it", msg)
 		}
-		record.lastNotificationConn = conn
+		record.lastNotificationConn = connID
 	default:
 		record.answerCount++
 		if record.withdrawn || harness.now > record.deadline+0.011 {
-			harness.t.Fatalf("client received rejection %v at time %v, client record is %+v; want a rejection only in time and only of a request that was not withdrawn", msg, harness.now, record)
+			harness.t.Fatalf("got rejection %v at time %v and client record %+v; want a rejection only before the deadline, and none after the client withdrew the request", msg, harness.now, record)
 		}
 	}
 	if record.answerCount > 1 {
-		harness.t.Fatalf("client received message %v, which is a second answer to its request", msg)
+		harness.t.Fatalf("client received message %v as a second answer to its request, want 1 answer", msg)
 	}
 }
 
@@ -237,7 +237,7 @@
 	}
 	for _, other := range slices.Concat(harness.sentAttempts, harness.runningAttempts) {
 		if other != attempt && other.request == attempt.request && other.Live() {
-			harness.t.Fatalf("two attempts of request %s are live at the same time", attempt.Message.UID)
+			harness.t.Fatalf("two attempts of request %s are live at the same time, want at most 1", attempt.Message.UID)
 		}
 	}
 	if node := harness.core.Node(attempt.Node); node.State != placer.Ready || harness.now >= attempt.expiresAt {
@@ -262,7 +262,7 @@
 	harness.lastEventNumber++
 	ok, err := harness.core.ReceiveDiscoveryEvent(harness.now, []byte(discoveryEventJSON(harness.lastEventNumber, complete, nodes...)))
 	if !ok || err != nil {
-		harness.t.Fatalf("discovery event %d was not applied: ReceiveDiscoveryEvent returned ok %v and error %v", harness.lastEventNumber, ok, err)
+		harness.t.Fatalf("discovery event %d was not applied: ReceiveDiscoveryEvent returned ok %v and error %v, want ok and no error", harness.lastEventNumber, ok, err)
 	}
 }
 
@@ -277,7 +277,7 @@
 	harness.advanceClock(30)
 	for id, record := range harness.clientRecords {
 		if record.answerCount == 0 && !record.withdrawn && !record.adoptionRequested && id != healthCheckID {
-			harness.t.Fatalf("request %x was not answered, client record is %+v", uint64(id), record)
+			harness.t.Fatalf("request %x was not answered, client record is %+v; want 1 answer", uint64(id), record)
 		}
 	}
 	harness.requireEmpty()
