--- a/internal/platform/protocol/characterization_test.go
+++ b/internal/platform/protocol/characterization_test.go
@@ -12,24 +12,24 @@
 )
 
 // TestCharacterization compares the behavior of the codec with a golden file. The inputs are a fixed list of
-// lines and seeded mutations of these lines. The golden file contains digests of whether each line is
-// accepted, of the values of each accepted message and of the bytes to which the message is encoded. It does
-// not cover error texts. Package goldentest describes how the golden file is regenerated.
+// lines and random mutations of these lines. The golden file contains digests of three results: whether a
+// line is accepted, the values of the parsed message, and the encoded form of the parsed message. It does not
+// cover error texts. Package goldentest describes how the golden file is regenerated.
 func TestCharacterization(t *testing.T) {
 	record := goldentest.NewRecorder()
 	for i, line := range corpusLines() {
 		record.Line("line %d %s", i, goldentest.Digest(parseResult(line)))
 	}
 	for seed := uint64(1); seed <= 20; seed++ {
-		record.Line("mutations %d %s", seed, goldentest.Digest(mutationResults(seed)))
+		record.Line("mutations %d %s", seed, goldentest.Digest(mutationResults(seed))) // seed selects the random mutations.
 	}
 	record.Line("encoding %s", goldentest.Digest(encodedMessages()))
 	record.Line("identifiers %s", goldentest.Digest(parsedIDsAndNames()))
 	record.Check(t, "characterization")
 }
 
-// parseResult parses one line and returns a text with the result and every value of the message. The golden
-// file contains digests of this text, so its words, such as "refused", must not change.
+// parseResult parses one line and returns a text that contains the result and every value of the message. The
+// golden file contains digests of this text, so words of the text such as "refused" must not change.
 func parseResult(line string) string {
 	var msg protocol.Message
 	if err := protocol.Parse([]byte(line), &msg); err != nil {
@@ -67,8 +67,8 @@
 	"true", "false", "null", "tru", "nul", "True", "{}", "[]", `{"a":[1,{"b":null}]}`, "[1,]", "[,1]", `{"a":1,}`, `{"a"}`, `{a:1}`, "[1", "{", "", ",",
 }
 
-// corpusLines returns lines that contain every kind of message and every field, and each JSON value of
-// stringLiterals and otherValues as the value of each key and each field.
+// corpusLines returns lines that together contain every kind of message and every field. Each JSON value of
+// stringLiterals and otherValues occurs as the value of each key and of each field.
 func corpusLines() []string {
 	const uid = `"uid":"00000000000000aF"`
 	var lines []string
@@ -104,8 +104,8 @@
 		`{"kind":"stop",`+uid+`}{}`, "\xef\xbb\xbf{}", `{"\u006bind":"st\u006fp",`+uid+`}`, `{"kind":"stop","uid":"0000000000000g00"}`)
 }
 
-// mutationResults returns the parse results of the corpus lines after one random mutation of each line: a
-// byte is replaced, removed or doubled, or the line is cut off.
+// mutationResults applies one random mutation to each corpus line and returns the results of parsing the
+// mutated lines. A mutation replaces, removes or doubles a byte, or cuts the line off.
 func mutationResults(seed uint64) string {
 	random := rand.New(rand.NewPCG(seed, 1))
 	var text strings.Builder
--- a/internal/platform/protocol/json.go
+++ b/internal/platform/protocol/json.go
@@ -45,8 +45,8 @@
 	return nil
 }
 
-// parseObject parses an object. It calls parseValue for each key; parseValue must consume the value of that
-// key.
+// parseObject parses an object. It calls parseValue for each key of the object, and parseValue must consume
+// the value of this key.
 func (p *parser) parseObject(parseValue func(key string) error) error {
 	if err := p.expect('{'); err != nil {
 		return err
@@ -116,7 +116,7 @@
 	return "", p.expectedError("the closing quote of a string")
 }
 
-// isUnescaped reports whether a byte in a JSON string stands for itself, so that no decoding is needed.
+// isUnescaped reports whether a byte in a JSON string stands for itself and needs no decoding.
 func isUnescaped(c byte) bool { return c != '"' && c != '\\' && c >= 0x20 }
 
 // parseEscape parses the escape sequence at the current position and returns the character that it encodes.
@@ -219,8 +219,8 @@
 	return string(p.line[start:p.position]), nil
 }
 
-// skipValue consumes a value of any type, whose nesting depth is depth. It returns an error if a value within
-// it is nested deeper than maxSkippedDepth.
+// skipValue consumes a value of any type. depth is the nesting depth of this value. If the value contains
+// another value that is nested deeper than maxSkippedDepth, skipValue returns an error.
 func (p *parser) skipValue(depth int) error {
 	if depth > maxSkippedDepth {
 		return fmt.Errorf("value at byte %d is nested deeper than %d levels", p.position, maxSkippedDepth)
@@ -244,7 +244,8 @@
 	return err
 }
 
-// skipArray consumes an array whose own nesting depth is depth. Its elements are one level deeper.
+// skipArray consumes an array. depth is the nesting depth of the array itself; its elements are one level
+// deeper.
 func (p *parser) skipArray(depth int) error {
 	p.position++ // This consumes the opening bracket.
 	p.skipSpace()
--- a/internal/platform/protocol/message.go
+++ b/internal/platform/protocol/message.go
@@ -6,9 +6,9 @@
 //
 // The package performs no I/O, reads no clock and imports no other package of the project. It accepts less
 // than JSON allows: it rejects text that is not valid UTF-8, half of a surrogate pair and duplicate keys,
-// because another parser might reject such a line or read it differently. If a node or client rejected a
-// message that the scheduler forwarded to it, it would close its connection to the scheduler, which would
-// abort all other requests on that connection.
+// because another parser might reject such a line or read it differently. A node or client that rejected a
+// forwarded message would close its connection to the scheduler. This would abort all other requests on that
+// connection.
 package protocol
 
 import (
@@ -54,8 +54,8 @@
 	CauseEnd Cause = 16
 	// CauseCancelled means that a task was migrated or that its client stopped it.
 	CauseCancelled Cause = 31
-	// CauseNoCapacity means that a task was rejected and never ran. The reason for the rejection is a lack of
-	// capacity, unless the field Note of the message states another reason.
+	// CauseNoCapacity means that a task was rejected and never ran. It was rejected for a lack of capacity,
+	// unless the field Note of the message states another reason.
 	CauseNoCapacity Cause = 34
 	// CauseLost means that a task was lost because the connection to its node, the node or the task itself
 	// failed.
@@ -134,9 +134,9 @@
 	// Cause is meaningful only if HasCause is true.
 	Cause    Cause
 	HasCause bool
-	// Body describes the task in a Launch, and is the node's answer about the task in a Running. It is a JSON
-	// string with its quotes, exactly as it was received, or "" if the message has no body. The scheduler
-	// forwards it unchanged, without decoding it.
+	// Body describes the requested task if the message is a Launch, and contains the answer of the node if
+	// the message is a Running. It is a JSON string with its quotes, exactly as it was received, or "" if the
+	// message has no body. The scheduler forwards it unchanged, without decoding it.
 	Body string
 	meta [fieldCount]string
 	has  [fieldCount]bool
--- a/internal/platform/protocol/message_test.go
+++ b/internal/platform/protocol/message_test.go
@@ -10,8 +10,8 @@
 
 const launchLine = `{"kind":"launch","uid":"9b1f03aa5c7e2d41","meta":{"class":"batch","left":1500},"body":"9d\u0034\r\nc=IN \/ \ud83d\ude00 é"}`
 
-// TestMessagesRoundTrip checks the values of a parsed message, and that the message is the same after it was
-// encoded and parsed again.
+// TestMessagesRoundTrip checks the values of a parsed message. It also checks that the message does not
+// change when it is encoded and parsed again.
 func TestMessagesRoundTrip(t *testing.T) {
 	var msg, reparsed Message
 	if err := Parse([]byte(launchLine), &msg); err != nil {
@@ -24,7 +24,7 @@
 		t.Fatalf("got message %+v, want TimeLeft 1500, class batch and no RetryAfter", msg)
 	}
 	if want := launchLine[strings.Index(launchLine, `"9d`) : len(launchLine)-1]; msg.Body != want {
-		t.Fatalf("got body %s, want the body unchanged from the line: %s", msg.Body, want)
+		t.Fatalf("the body of the parsed message is %s, want exactly the body in the line: %s", msg.Body, want)
 	}
 	msg.Set(Extras, "a\"b\\c\x01")
 	msg.Cause, msg.HasCause = 34, true
@@ -66,14 +66,14 @@
 		"number with a leading zero":                   `{"kind":"stop",` + uid + `,"meta":{"left":01}}`,
 		"body is not a string":                         `{"kind":"launch",` + uid + `,"body":{"a":1}}`,
 		"arrays nested too deeply":                     `{"kind":"stop",` + uid + `,"x":` + strings.Repeat("[", 5000) + strings.Repeat("]", 5000) + `}`,
-		"line too long":                                `{"kind":"stop",` + uid + `,"body":"` + strings.Repeat("a", MaxLineBytes) + `"}`,
+		"line longer than the maximum":                 `{"kind":"stop",` + uid + `,"body":"` + strings.Repeat("a", MaxLineBytes) + `"}`,
 		"comma after the last member":                  `{"kind":"stop",` + uid + `,}`,
 	} {
 		t.Run(name, func(t *testing.T) {
 			var msg Message
 			if err := Parse([]byte(line), &msg); err == nil {
-				t.Errorf("the line was accepted as %+v", msg)
-			} else if name == "line too long" && !errors.Is(err, ErrTooLong) {
+				t.Errorf("Parse accepted the invalid line and returned the message %+v", msg)
+			} else if name == "line longer than the maximum" && !errors.Is(err, ErrTooLong) {
 				t.Error(err)
 			}
 		})
@@ -81,17 +81,17 @@
 }
 
 // TestUnknownKeysAreSkipped checks that a message is accepted if it has keys that the protocol does not
-// define, whatever their values are.
+// define. The values of these keys may be of any JSON type.
 func TestUnknownKeysAreSkipped(t *testing.T) {
 	var msg Message
 	if err := Parse([]byte(`{"kind":"stop","uid":"9b1f03aa5c7e2d41","more":{"a":[1,null,true,{"b":"c"}]},"meta":{"other":[]}}`), &msg); err != nil {
-		t.Errorf("a message with unknown keys was rejected: %v", err)
+		t.Errorf("Parse rejected a message with unknown keys: %v", err)
 	}
 }
 
-// FuzzLine compares the codec with encoding/json: each line that the codec accepts must be valid JSON, and
-// encoding the message and parsing the result must give the same message. It also checks that the memory
-// that Parse allocates is bounded by a constant plus a fixed multiple of the length of the line.
+// FuzzLine checks three properties of the codec. Each line that Parse accepts must be valid JSON according to
+// encoding/json. Encoding the parsed message and parsing the result must give the same message. The memory
+// that Parse allocates must not exceed a constant plus a fixed multiple of the length of the line.
 func FuzzLine(f *testing.F) {
 	f.Add([]byte(launchLine))
 	f.Add([]byte(`{"kind":"stop","uid":"9b1f03aa5c7e2d41","meta":{"load":"x0:1;x1:2"},"reason":-1}`))
@@ -103,7 +103,7 @@
 		err := Parse(line, &msg)
 		runtime.ReadMemStats(&memoryAfter)
 		if allocated := memoryAfter.TotalAlloc - memoryBefore.TotalAlloc; allocated > uint64(16*len(line)+64<<10) {
-			t.Fatalf("Parse allocated %d bytes for a line of %d bytes", allocated, len(line))
+			t.Fatalf("Parse allocated %d bytes for a line of %d bytes, want at most 64 KiB plus 16 times the length of the line", allocated, len(line))
 		}
 		if err != nil {
 			return
@@ -113,7 +113,7 @@
 		}
 		encoded := msg.Append(nil)
 		if err := Parse(encoded[:len(encoded)-1], &reparsed); (err != nil || reparsed != msg) && len(encoded) < MaxLineBytes {
-			t.Fatalf("got error %v or a changed message after encoding the parsed message and parsing the result: %s", err, encoded)
+			t.Fatalf("the parsed message was changed or rejected (error %v) when it was encoded and parsed again; encoded message: %s", err, encoded)
 		}
 	})
 }
