--- a/internal/platform/server/attempt_sender.go
+++ b/internal/platform/server/attempt_sender.go
@@ -19,17 +19,17 @@
 	}
 }
 
-// sendPending sends the scheduled attempts. An attempt must not be sent if its client has canceled the
-// request or closed the client connection. The kernel may already have received such a cancellation or close
-// although the event loop has not read it yet. For this reason sendPending reads the client connection once
-// more before it sends an attempt. If the client has canceled or disconnected, the dispatch core ends the
-// attempt, and no byte of the attempt is sent.
+// sendPending sends the pending attempts. An attempt must not be sent if its client has canceled the request
+// or closed the client connection. The kernel may already have received this cancellation or close although
+// the event loop has not read it yet, so sendPending reads the client connection once more before it sends an
+// attempt. If the client has canceled the request or disconnected, the dispatch core ends the attempt, and no
+// byte of the attempt is sent.
 func (sender *attemptSender) sendPending() {
 	s := sender.server
 	attempts := sender.pendingAttempts
 	sender.pendingAttempts = nil
 	for _, attempt := range attempts {
-		if s.clients.hasUnreadLines(attempt.ClientConn()) { // The unread lines may cancel the request of this attempt.
+		if s.clients.hasDeferredLines(attempt.ClientConn()) { // The deferred lines may cancel the request of this attempt.
 			sender.schedule(attempt)
 			continue
 		}
--- a/internal/platform/server/client_conn.go
+++ b/internal/platform/server/client_conn.go
@@ -15,12 +15,12 @@
 // idleClientTimeout and incompleteMessageTimeout limit how long a client connection stays open without a
 // message.
 const (
-	// idleClientTimeout is the time without a message after which a client connection is closed if no request
-	// is open on it and no task was ever placed for it. The platform allows a client connection to be idle
-	// for at most 3 s.
+	// idleClientTimeout is the time without a message after which the server closes an idle client
+	// connection. The environment that starts the schedulers allows a client connection to be idle for at
+	// most 3 s.
 	idleClientTimeout = 2 * time.Second
-	// incompleteMessageTimeout is how long a client connection that is otherwise idle stays open after an
-	// incomplete message has begun to arrive on it.
+	// incompleteMessageTimeout is how long the server keeps an idle client connection open after a part of a
+	// message has arrived on it. Within this time, the rest of the message can still arrive.
 	incompleteMessageTimeout = 700 * time.Millisecond
 )
 
@@ -37,11 +37,12 @@
 const (
 	// clientOpen means that messages are read from the client connection and written to it.
 	clientOpen clientConnState = iota
-	// clientAdopting is like clientOpen, except that running tasks of the client were adopted in the current
-	// iteration of the event loop, so the connection is read once more at the end of the iteration.
+	// clientAdopting means that the client connection is open and that running tasks of the client were
+	// adopted in the current iteration of the event loop. The connection is read once more at the end of this
+	// iteration.
 	clientAdopting
-	// clientClosing means that the client connection closes once its output is flushed, and that the dispatch
-	// core already treats the client as disconnected.
+	// clientClosing means that the server closes the client connection once its output is flushed. The
+	// dispatch core already treats the client as disconnected.
 	clientClosing
 	// clientClosed means that the client connection has ended.
 	clientClosed
@@ -73,12 +74,12 @@
 	state           clientConnState
 	openedAt        clock.Instant
 	lastMessageAt   clock.Instant // lastMessageAt is when the last valid message arrived, or openedAt if none has arrived.
-	incompleteSince clock.Instant // incompleteSince is when the incomplete message began to arrive, or zero if there is none.
+	incompleteSince clock.Instant // incompleteSince is when a message that is still incomplete began to arrive, or zero if there is none.
 	message         protocol.Message
 }
 
-// setState changes the state of the connection. An illegal transition is a programming error. It is counted
-// and logged, and leaves the state unchanged.
+// setState changes the state of the client connection. An illegal transition is a programming error: setState
+// counts and logs it, and leaves the state unchanged.
 func (c *clientConn) setState(next clientConnState) {
 	if !c.state.canBecome(next) {
 		c.server.recordIllegalTransition("client connection", uint64(c.id), c.state, next)
@@ -108,7 +109,7 @@
 }
 
 // handleLine parses one line from the client and passes the message to the dispatch core. If the line is not
-// a message, it returns an error, and the caller closes the connection.
+// a message, it returns an error, and the caller closes the client connection.
 func (c *clientConn) handleLine(line []byte) (lineCost, error) {
 	s := c.server
 	if err := protocol.Parse(line, &c.message); err != nil {
@@ -129,10 +130,10 @@
 	return exemptFromLimit, nil
 }
 
-// readPendingAdoptions reads the connection once more at the end of the current iteration of the event loop.
-// After a restart of the scheduler, clients request the adoption of thousands of running tasks at once. These
-// tasks use capacity even before the scheduler has read the requests, so all adoption requests that have
-// arrived are read before any task is placed.
+// readPendingAdoptions makes the server read the client connection once more at the end of the current
+// iteration of the event loop. After a restart of the scheduler, clients request the adoption of thousands of
+// running tasks at once. These tasks use capacity even before the scheduler has read the adoption requests.
+// For this reason, all adoption requests that have arrived are read before any task is placed.
 func (c *clientConn) readPendingAdoptions() {
 	if c.state == clientAdopting {
 		return
@@ -159,8 +160,8 @@
 	s.applyReadyEffects()
 }
 
-// closeGracefully closes the connection once its output is flushed. It tells the dispatch core at once that
-// the client has disconnected, because a notification that is written from now on would be lost.
+// closeGracefully closes the client connection once its output is flushed. It tells the dispatch core at once
+// that the client has disconnected, because a notification that is written from now on would be lost.
 func (c *clientConn) closeGracefully() {
 	if c.state == clientClosing {
 		return
@@ -172,7 +173,7 @@
 }
 
 // send writes a message to the client. If the unsent output exceeds maxUnsentBytesToClient, it closes the
-// connection instead.
+// client connection instead.
 func (c *clientConn) send(message *protocol.Message) {
 	s := c.server
 	if c.conn.UnsentBytes() > maxUnsentBytesToClient {
@@ -184,18 +185,18 @@
 	c.conn.CommitOutput(message.Append(c.conn.OutputBuffer()))
 }
 
-// isIdle reports whether the connection may be closed as idle. This is the case if no request is open on it,
-// no task was ever placed for it and it is silent. While tasks run, the only remaining client connection is
-// not idle: clients open connections only to send requests, but must be notified within a second of the end
-// of a task.
+// isIdle reports whether the client connection may be closed as idle. The connection is idle if it is silent,
+// no request is open on it, and no request on it has ever led to a running task. However, the last client
+// connection is kept while tasks run. The server needs it to notify a client within a second of the end of
+// its task, and clients open a new connection only when they have a request to send.
 func (c *clientConn) isIdle(now clock.Instant) bool {
 	core := c.server.core
 	openRequests, hasPlacedTask := core.ClientRequests(c.id)
 	return c.state != clientClosing && openRequests == 0 && !hasPlacedTask && c.isSilent(now) && !core.IsOnlyClient(c.id)
 }
 
-// isSilent reports whether two conditions hold: no valid message has arrived for idleClientTimeout, and no
-// incomplete message has begun to arrive within the last incompleteMessageTimeout.
+// isSilent reports whether no valid message has arrived on the client connection for idleClientTimeout. It
+// returns false if an incomplete message began to arrive within the last incompleteMessageTimeout.
 func (c *clientConn) isSilent(now clock.Instant) bool {
 	isReceiving := !c.incompleteSince.IsZero() && now.Sub(c.incompleteSince) < incompleteMessageTimeout
 	return now.Sub(c.lastMessageAt) > idleClientTimeout && !isReceiving
--- a/internal/platform/server/client_conn_test.go
+++ b/internal/platform/server/client_conn_test.go
@@ -10,8 +10,8 @@
 	"time"
 )
 
-// TestMisbehavingClients checks that clients that send nothing, invalid data or too much data are answered or
-// disconnected within 3 s, and that another client is still served.
+// TestMisbehavingClients checks clients that send nothing, invalid data or too much data. The server must
+// answer or disconnect each of them within 3 s, and must still serve another client.
 func TestMisbehavingClients(t *testing.T) {
 	node := startNode(t, acceptTask)
 	server := startServer(t, 256, node.addr)
@@ -57,13 +57,13 @@
 			"unreadable": invalidInput.Unreadable, "long line": invalidInput.LineTooLong, "class": invalidInput.Class, "id in use": invalidInput.DuplicateID,
 		} {
 			if count == 0 {
-				t.Errorf("the counter %q of invalid input is 0, want more; all counters: %+v", kind, invalidInput)
+				t.Errorf("the server counted no invalid input of the kind %q, want at least 1; all counters: %+v", kind, invalidInput)
 			}
 		}
 	})
 }
 
-// flood sends zero bytes until the server closes the connection or the given number of bytes has been sent.
+// flood sends bytes of value 0 until maxBytes are sent or the server closes the client connection.
 func (client *testClient) flood(maxBytes int) {
 	zeroBytes := make([]byte, 32<<10)
 	for sentBytes := 0; sentBytes < maxBytes; {
@@ -75,9 +75,9 @@
 	}
 }
 
-// TestIdleClientsDoNotExhaustConnectionSlots checks that other clients still get connection slots if hundreds
-// of clients open connections and send nothing. All connections must stay within the limit on file
-// descriptors.
+// TestIdleClientsDoNotExhaustConnectionSlots checks that clients with requests still get connection slots
+// after hundreds of other clients have opened connections and sent nothing. All connections must stay within
+// the limit on file descriptors.
 func TestIdleClientsDoNotExhaustConnectionSlots(t *testing.T) {
 	node := startNode(t, acceptTask)
 	server := startServer(t, 64, node.addr)
@@ -92,7 +92,7 @@
 	}
 	server.runOnLoop(func() {
 		if len(server.clients.byID) > server.clients.maxConns || server.clients.maxConns+server.nodes.maxConns+reservedDescriptors > 64 {
-			t.Errorf("%d client connections are open, want at most %d, and client and node connections within 64 file descriptors",
+			t.Errorf("%d client connections are open, want at most %d; all client and node connections must fit into 64 file descriptors",
 				len(server.clients.byID), server.clients.maxConns)
 		}
 	})
@@ -118,14 +118,14 @@
 	}
 	server.runOnLoop(func() {
 		if len(server.clients.byID) != 0 {
-			t.Errorf("%d client connections are open after the server closed the only one, want none", len(server.clients.byID))
+			t.Errorf("%d client connections are open after the server closed the only client connection, want none", len(server.clients.byID))
 		}
 	})
 }
 
-// TestClientConnectionReadBeforeClose checks that a placement request is served if the kernel has received it
-// on a client connection that the server is about to close. The server closes the connection because it is
-// idle or in order to free its connection slot.
+// TestClientConnectionReadBeforeClose checks that the server reads a client connection before it closes the
+// connection as idle or in order to free a connection slot. A placement request that the kernel has already
+// received on the connection must be served.
 func TestClientConnectionReadBeforeClose(t *testing.T) {
 	for name, closeConns := range map[string]func(server *testServer){
 		"server closes idle connections": func(server *testServer) { server.clients.closeIdle() },
@@ -144,15 +144,16 @@
 	}
 }
 
-// TestIdleClientWithIncompleteMessage checks that an idle client connection is not closed at once if a part of
-// a message has just arrived on it, and that it is closed if the rest of the message does not arrive.
+// TestIdleClientWithIncompleteMessage checks idle client connections on which a part of a message has just
+// arrived. The server must not close such a connection at once. It must close the connection if the rest of
+// the message does not arrive.
 func TestIdleClientWithIncompleteMessage(t *testing.T) {
 	server := startServer(t, 256, startNode(t, acceptTask).addr)
 	slowClient, stalledClient := server.connect(), server.connect()
 	launch := launchMessage(1, "query", `"x"`)
 	slowClient.send(launch[:40])
 	stalledClient.send(launch[:40])
-	server.waitUntil("two incomplete messages", func() bool { return server.clientsWithIncompleteMessage() == 2 })
+	server.waitUntil("the server to receive a part of a message from each of the two clients", func() bool { return server.clientsWithIncompleteMessage() == 2 })
 	server.runOnLoop(func() {
 		server.backdateClients() // Both clients now appear to have sent no valid message for more than idleClientTimeout.
 		server.clients.closeIdle()
@@ -162,8 +163,8 @@
 	stalledClient.expectClosed()
 }
 
-// startServerWithTask starts a server and a node on which task 1 runs. It returns the server, the client of the
-// task, and the node's end of the connection between the server and the node.
+// startServerWithTask starts a server and a node on which task 1 runs. It returns the server, the client of
+// the task, and the connection on which the node communicates with the server.
 func startServerWithTask(t *testing.T) (*testServer, *testClient, net.Conn) {
 	t.Helper()
 	taskConns := make(chan net.Conn, 1)
@@ -174,12 +175,12 @@
 	return server, client, waitFor(t, "the node to accept task 1", taskConns)
 }
 
-// TestNoNotificationOnClosingConnection checks the case that the server is closing the client connection when a
-// task of the client ends. The server must report the end on the next connection that the client opens.
+// TestNoNotificationOnClosingConnection checks that the server does not report the end of a task on a client
+// connection that it is closing. It must report the end on the next connection that the client opens.
 func TestNoNotificationOnClosingConnection(t *testing.T) {
 	server, invalidClient, nodeConn := startServerWithTask(t)
-	// After an invalid line, the server closes the client connection. The connection does not end before the
-	// client closes it as well.
+	// After an invalid line, the server starts to close the client connection. The connection ends only when
+	// the client closes it as well, which the client does not do here.
 	invalidClient.send("noise\n")
 	server.waitUntil("the server to receive the invalid line", func() bool { return server.stats.InvalidFromClients.Unreadable > 0 })
 	sendTo(t, nodeConn, stopMessage(1, 16))
@@ -189,14 +190,14 @@
 	nextClientConn.expectMessage(`"stop"`, "0000000000000001", `"reason":16`)
 	server.runOnLoop(func() {
 		if server.core.Counts.Redeliveries > 0 {
-			t.Error("the server first reported the end of the task on the closing connection, want only a report on the next connection")
+			t.Error("the server reported the end of the task on the closing client connection, want a report only on the next client connection")
 		}
 	})
 }
 
-// TestNotificationRedeliveredWhenClientCloses checks the case that a client closes its connection at the moment
-// at which the server sends a notification on it. The server must send the notification again on the next
-// connection that the client opens.
+// TestNotificationRedeliveredWhenClientCloses checks that a notification is not lost if the client closes its
+// connection at the moment at which the server sends the notification. The server must send the notification
+// again on the next connection that the client opens.
 func TestNotificationRedeliveredWhenClientCloses(t *testing.T) {
 	server, closingClient, nodeConn := startServerWithTask(t)
 	server.blockLoopDuring(func() {
@@ -210,9 +211,9 @@
 	nextClientConn.expectMessage(`"stop"`, "0000000000000001", `"reason":16`)
 }
 
-// TestLastClientConnectionIsKept checks that the only remaining client connection is not closed as idle while a
-// task runs, even if no task was placed for it and the client has only requested an adoption or sent a health
-// check on it. The server must report the end of a task on this connection at once.
+// TestLastClientConnectionIsKept checks that the only remaining client connection is not closed as idle while
+// a task runs. This holds even if the client has only requested an adoption or sent a health check on this
+// connection. The server must report the end of a task on it at once.
 func TestLastClientConnectionIsKept(t *testing.T) {
 	taskConns := make(chan net.Conn, 1)
 	node := startNode(t, acceptTaskAndSendConn(taskConns))
@@ -231,7 +232,7 @@
 		})
 	}
 	closeIdleConns()
-	idleClient.expectClosed() // Two other client connections remain, and no task was placed for this one.
+	idleClient.expectClosed() // This connection has led to no running task, and two other client connections remain.
 	idleClient.close()
 	clientWithPlacedTask.close()
 	server.waitUntil("only one client connection to remain", func() bool { return len(server.clients.byID) == 1 })
--- a/internal/platform/server/client_table.go
+++ b/internal/platform/server/client_table.go
@@ -21,7 +21,7 @@
 	lastID   dispatch.ConnID
 	maxConns int
 
-	candidates     []memquota.EvictionCandidate // candidates are the connections that evict may close, in a reused slice.
+	candidates     []memquota.EvictionCandidate // candidates describes the connections that evict may close. The slice is reused.
 	candidateConns []*clientConn                // candidateConns[i] is the client connection that candidates[i] describes.
 }
 
@@ -56,9 +56,9 @@
 	}
 }
 
-// hasUnreadLines reads the client connection with the given ID. It reports whether more lines have arrived on
-// it than one iteration of the event loop may handle, in which case some lines wait for the next iteration.
-func (table *clientTable) hasUnreadLines(id dispatch.ConnID) bool {
+// hasDeferredLines reads the client connection with the given ID. It returns true if more lines have arrived
+// than one iteration of the event loop may handle. The remaining lines are deferred to the next iteration.
+func (table *clientTable) hasDeferredLines(id dispatch.ConnID) bool {
 	client := table.byID[id]
 	if client == nil {
 		return false
@@ -67,14 +67,15 @@
 	return client.conn.ReadPaused() && !client.conn.Closed()
 }
 
-// readAllConns reads every client connection. It reports whether, on any of them, part of a message has
-// arrived or lines wait for the next iteration of the event loop.
-func (table *clientTable) readAllConns() (unread bool) {
+// readAllConns reads every client connection once. It returns true if input remains to be handled on any of
+// them: either only a part of a message has arrived, or lines are deferred to the next iteration of the event
+// loop.
+func (table *clientTable) readAllConns() (inputRemains bool) {
 	for _, client := range table.byID {
 		client.conn.ReadNow()
-		unread = unread || !client.incompleteSince.IsZero() || client.conn.ReadPaused()
+		inputRemains = inputRemains || !client.incompleteSince.IsZero() || client.conn.ReadPaused()
 	}
-	return unread
+	return inputRemains
 }
 
 // closeGracefully closes every client connection once its output is flushed.
@@ -84,8 +85,8 @@
 	}
 }
 
-// closeIdle closes the idle client connections. It reads each of them once more before it closes it, because
-// a request that the kernel has already received would otherwise be lost with the connection.
+// closeIdle closes the idle client connections. Before it closes a connection, it reads the connection once
+// more. Otherwise, a request that the kernel has already received would be lost with the connection.
 func (table *clientTable) closeIdle() {
 	s := table.server
 	now := s.loop.Now()
@@ -101,9 +102,9 @@
 	}
 }
 
-// evict closes the client connection that is least likely to be needed, which frees the connection slot.
-// Before it closes a candidate, it reads that connection once more. If a request has arrived there, it keeps
-// the connection and tries the next candidate.
+// evict closes the client connection that is least likely to be needed, which frees a connection slot. Before
+// it closes this connection, it reads the connection once more. If a request has arrived on the connection,
+// evict keeps it and tries the next candidate.
 func (table *clientTable) evict() {
 	s := table.server
 	table.collectCandidates()
@@ -124,7 +125,8 @@
 }
 
 // collectCandidates fills candidates and candidateConns with all client connections except those that are
-// closing: the slots of closing connections become free soon, and their last answers may still be in transit.
+// closing. The slots of closing connections become free soon, and the last answers on these connections may
+// still be in transit.
 func (table *clientTable) collectCandidates() {
 	s := table.server
 	now := s.loop.Now()
--- a/internal/platform/server/config.go
+++ b/internal/platform/server/config.go
@@ -18,8 +18,8 @@
 // maxMemoryMiB is the maximum memory limit that a configuration may set, in MiB.
 const maxMemoryMiB = 1 << 30
 
-// Config is the configuration of a scheduler on the shared platform. It is read from the configuration file
-// that the platform provides when it starts the scheduler.
+// Config is the configuration of a scheduler. The environment that starts the scheduler provides it as a
+// configuration file.
 type Config struct {
 	Name          string
 	Listen        string          // Listen is the address on which the server accepts client connections.
@@ -28,7 +28,7 @@
 	CPULimit      float64         // CPULimit is the limit on processor cores, or 0 if the configuration sets none.
 	MemoryLimit   int64           // MemoryLimit is the memory limit in bytes, or 0 if the configuration sets none.
 	OpenFileLimit int             // OpenFileLimit is the limit on file descriptors, or 0 if the configuration sets none.
-	InitialEvents json.RawMessage // InitialEvents contains the discovery events up to the start of the scheduler.
+	InitialEvents json.RawMessage // InitialEvents contains the discovery events that precede the start of the scheduler.
 	Settings      *simconfig.Settings
 }
 
--- a/internal/platform/server/conn_state_test.go
+++ b/internal/platform/server/conn_state_test.go
@@ -7,9 +7,9 @@
 	"testing"
 )
 
-// checkAllTransitions attempts every transition between two states of a connection with setState, which
-// returns the resulting state. A legal transition must change the state. An illegal transition must be counted
-// and must leave the state unchanged.
+// checkAllTransitions attempts every transition between two states of a connection. It uses the function
+// setState for this, which returns the resulting state. A legal transition must change the state. An illegal
+// transition must be counted and must leave the state unchanged.
 func checkAllTransitions[State interface {
 	comparable
 	fmt.Stringer
@@ -25,10 +25,10 @@
 					wantState, wantIllegal = to, 0
 				}
 				if state != wantState {
-					t.Errorf("the connection is in state %s after the transition, want %s", state, wantState)
+					t.Errorf("after the attempted transition, the connection is in state %s, want %s", state, wantState)
 				}
 				if illegal := server.stats.IllegalTransitions; illegal != wantIllegal {
-					t.Errorf("the server counted %d illegal transitions, want %d", illegal, wantIllegal)
+					t.Errorf("after the attempted transition, the server has counted %d illegal transitions, want %d", illegal, wantIllegal)
 				}
 			})
 		}
--- a/internal/platform/server/core_clock.go
+++ b/internal/platform/server/core_clock.go
@@ -14,7 +14,8 @@
 // Package server represents times as clock.Instant and time.Duration; the dispatch core and the settings use
 // floating-point seconds. All conversions between these formats are in this file.
 
-// defaultConnectTimeout is the maximum duration of a dial to a node if the settings contain no connect timeout.
+// defaultConnectTimeout is the maximum duration of a dial to a node if the settings contain no connect
+// timeout.
 const defaultConnectTimeout = 250 * time.Millisecond
 
 // newBackoff returns an exponential backoff whose delays lie between minDelay and maxDelay.
@@ -27,17 +28,17 @@
 	return clock.Duration(backoff.Next(s.rng.Float64()))
 }
 
-// idleTimeoutFraction is the fraction of the idle timeout in the settings after which the server closes an
-// idle node connection. If the node closed the connection first, at the full timeout, an attempt in transit
-// at that moment would be lost.
+// idleTimeoutFraction determines when the server closes an idle node connection: after this fraction of the
+// idle timeout in the settings. Otherwise, the node would close the connection after the full idle timeout,
+// and an attempt in transit at that moment would be lost.
 const idleTimeoutFraction = 0.6
 
 // coreNow returns the time of the current iteration of the event loop, in the time format of the dispatch
 // core.
 func (s *Server) coreNow() placer.Seconds { return s.loop.Now().UnixSeconds() }
 
-// resetCoreTimer sets coreTimer to the time at which the next timer of the dispatch core is due. The core
-// reports infinity as this time if it has set no timer.
+// resetCoreTimer sets coreTimer to the time at which the next timer of the dispatch core is due. If the core
+// has set no timer, this time is infinity, and resetCoreTimer removes coreTimer.
 func (s *Server) resetCoreTimer() {
 	dueTime := s.core.NextTimer()
 	if s.coreTimer != nil && s.coreTimerDue == dueTime {
--- a/internal/platform/server/discovery.go
+++ b/internal/platform/server/discovery.go
@@ -81,8 +81,8 @@
 	w.open()
 }
 
-// open requests a stream of the events that follow the last event received. If a stream is open, open cancels
-// it.
+// open requests a stream of the events that follow the last event received. It cancels the previous request
+// for a stream if the response to that request has not ended.
 func (w *discoveryWatch) open() {
 	w.retryTimer.Stop()
 	w.idleTimer.Stop()
@@ -129,10 +129,10 @@
 type discoveryStream struct {
 	watch   *discoveryWatch
 	decoder sse.Decoder
-	failure error // failure is the first error in the stream; the events after this error are ignored.
+	failure error // failure is the first error in the stream, or nil. Events after this error are ignored.
 }
 
-// isCurrent reports whether the watch has not abandoned the stream.
+// isCurrent reports whether the watch still uses the stream.
 func (stream *discoveryStream) isCurrent() bool { return stream.watch.stream == stream }
 
 // responseStarted handles the header of the discovery server's response.
@@ -146,7 +146,7 @@
 	s.applyReadyEffects()
 }
 
-// bodyReceived decodes a part of the response body and handles the events that it completes.
+// bodyReceived decodes a part of the response body and handles each event that ends in this part.
 func (stream *discoveryStream) bodyReceived(data []byte) {
 	if !stream.isCurrent() || stream.failure != nil {
 		return
--- a/internal/platform/server/discovery_fixture_test.go
+++ b/internal/platform/server/discovery_fixture_test.go
@@ -31,8 +31,8 @@
 	return fmt.Sprintf("id: %d\ndata: %s\n\n", number, discoveryEventJSON(number, entries...))
 }
 
-// sseFullListEvent returns a server-sent event that contains a full list of nodes although its number is not
-// 1.
+// sseFullListEvent returns a discovery event that contains a full list of nodes, in the format of server-sent
+// events. The number of the event need not be 1.
 func sseFullListEvent(number int, entries ...string) string {
 	return strings.Replace(sseEvent(number, entries...), `"all":false`, `"all":true`, 1)
 }
@@ -43,7 +43,7 @@
 	requests chan *discoveryRequest
 }
 
-// discoveryRequest is a request of the server under test to a discoveryServer.
+// discoveryRequest is a request that a discoveryServer has received from the server under test.
 type discoveryRequest struct {
 	lastEventID  string
 	responseText chan string // responseText receives the text of the response; closing it ends the response.
@@ -71,7 +71,7 @@
 				return
 			}
 			if _, err := io.WriteString(w, text); err != nil {
-				return // The server under test has closed its connection.
+				return // The server under test has closed the discovery connection.
 			}
 			flusher.Flush()
 		case <-r.Context().Done():
@@ -85,18 +85,19 @@
 // sseResponseHead is the header of a successful response of a rawDiscoveryServer.
 const sseResponseHead = "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nCache-Control: no-store\r\n\r\n"
 
-// rawDiscoveryServer is a discovery server for tests that write each byte of a response, including the header,
-// themselves.
+// rawDiscoveryServer is a discovery server for tests. The test itself writes every byte of a response,
+// including the header.
 type rawDiscoveryServer struct {
 	net.Listener
 	requests chan *rawDiscoveryRequest
 }
 
-// rawDiscoveryRequest is a request of the server under test to a rawDiscoveryServer, with its connection.
+// rawDiscoveryRequest is a request that a rawDiscoveryServer has received from the server under test,
+// together with the connection on which it arrived.
 type rawDiscoveryRequest struct {
 	net.Conn
 	lastEventID string
-	closed      chan struct{} // closed is closed when the server under test has closed the connection.
+	closed      chan struct{} // closed is a channel that is closed once the server under test has closed the connection.
 }
 
 func startRawDiscoveryServer(t *testing.T, listener net.Listener) *rawDiscoveryServer {
@@ -140,7 +141,7 @@
 	defer close(request.closed)
 	for {
 		if _, err := reader.Discard(1); err != nil {
-			return // The server under test has closed or reset the connection.
+			return // The server under test has closed or reset the discovery connection.
 		}
 	}
 }
--- a/internal/platform/server/discovery_test.go
+++ b/internal/platform/server/discovery_test.go
@@ -7,9 +7,9 @@
 	"time"
 )
 
-// TestDiscoveryWatchResumesFromLastEvent checks that the discovery watch continues after the last event
-// received in four cases: the discovery stream breaks, it skips an event, it falls silent, or a reload names
-// another address of the discovery server.
+// TestDiscoveryWatchResumesFromLastEvent checks that the discovery watch requests a new stream in four cases:
+// the discovery stream breaks, it skips an event, it falls silent, or a reload names another address of the
+// discovery server. Each new stream must continue after the last event that the server has received.
 func TestDiscoveryWatchResumesFromLastEvent(t *testing.T) {
 	server := startServer(t, 256)
 	lastEvent := func() (number uint64) {
@@ -27,7 +27,7 @@
 	close(request.responseText) // The stream ends in the middle of event 3.
 	request = waitFor(t, "a request after the stream broke", server.discovery.requests)
 	if request.lastEventID != "2" || lastEvent() != 2 {
-		t.Fatalf("the request after the stream broke has Last-Event-ID %q, want 2", request.lastEventID)
+		t.Fatalf("the request after the stream broke has Last-Event-ID %q, want 2, which must also be the last event of the server", request.lastEventID)
 	}
 	request.responseText <- event4 // The stream skips event 3.
 	request = waitFor(t, "a request after the stream skipped an event", server.discovery.requests)
@@ -53,7 +53,7 @@
 	server.waitForEvent(4)
 	select {
 	case <-otherDiscovery.requests:
-		t.Fatal("two reloads with the same address led to two requests to the discovery server, want one")
+		t.Fatal("the server sent two requests to the discovery server after two reloads with the same address, want one request")
 	default:
 	}
 }
@@ -77,9 +77,9 @@
 	}
 }
 
-// TestDiscoveryWatchIdleTimeout checks that the discovery watch requests another stream, which continues after
-// the last event received, within 4 s after the first stream has fallen silent. In each subtest, the first
-// stream falls silent at a different point.
+// TestDiscoveryWatchIdleTimeout checks that the discovery watch requests another stream within 4 s after the
+// first stream has fallen silent. The second stream must continue after the last event received. In each
+// subtest, the first stream falls silent at a different point.
 func TestDiscoveryWatchIdleTimeout(t *testing.T) {
 	event2 := sseEvent(2, nodeEntryJSON(1, "127.0.0.1:1", "in_service"))
 	for name, test := range map[string]struct {
@@ -87,18 +87,18 @@
 		wantLastEventID string // wantLastEventID is the Last-Event-ID that the second request must contain.
 		afterResponse   func(server *testServer, discovery *rawDiscoveryServer)
 	}{
-		"silent before the first byte":                 {"", "1", nil},
-		"silent within the response header":            {sseResponseHead[:40], "1", nil},
-		"silent after the response header":             {sseResponseHead, "1", nil},
-		"silent after a comment":                       {sseResponseHead + ": comment\n\n", "1", nil},
-		"silent within an event":                       {sseResponseHead + event2[:30], "1", nil},
-		"silent before the last line feed of an event": {sseResponseHead + event2[:len(event2)-1], "1", nil},
-		"silent after a complete event":                {sseResponseHead + event2, "2", nil},
-		"silent after an event while the server stops": {sseResponseHead + event2, "2", func(server *testServer, _ *rawDiscoveryServer) {
+		"stream falls silent before the first byte":                 {"", "1", nil},
+		"stream falls silent within the response header":            {sseResponseHead[:40], "1", nil},
+		"stream falls silent after the response header":             {sseResponseHead, "1", nil},
+		"stream falls silent after a comment":                       {sseResponseHead + ": comment\n\n", "1", nil},
+		"stream falls silent within an event":                       {sseResponseHead + event2[:30], "1", nil},
+		"stream falls silent before the last line feed of an event": {sseResponseHead + event2[:len(event2)-1], "1", nil},
+		"stream falls silent after a complete event":                {sseResponseHead + event2, "2", nil},
+		"stream falls silent after an event while the server stops": {sseResponseHead + event2, "2", func(server *testServer, _ *rawDiscoveryServer) {
 			server.shutdown.requested = true
 			server.shutdown.requestedAt = server.loop.Now()
 		}},
-		"silent after an event and a reload with the same address": {sseResponseHead + event2, "2", func(server *testServer, discovery *rawDiscoveryServer) {
+		"stream falls silent after an event and a reload with the same address": {sseResponseHead + event2, "2", func(server *testServer, discovery *rawDiscoveryServer) {
 			server.Reload(server.configWithDiscovery(discovery.addr()))
 		}},
 	} {
@@ -115,10 +115,10 @@
 			silentSince := time.Now()
 			secondRequest := waitFor(t, "a second request to the discovery server", discovery.requests)
 			if secondRequest.lastEventID != test.wantLastEventID {
-				t.Errorf("the second request has Last-Event-ID %q, want %q", secondRequest.lastEventID, test.wantLastEventID)
+				t.Errorf("the second request to the discovery server has Last-Event-ID %q, want %q", secondRequest.lastEventID, test.wantLastEventID)
 			}
 			if elapsed := time.Since(silentSince); elapsed > 4*time.Second {
-				t.Errorf("the second request arrived %v after the first stream fell silent, want at most 4 s", elapsed)
+				t.Errorf("the second request to the discovery server arrived %v after the first stream fell silent, want at most 4 s", elapsed)
 			}
 			waitFor(t, "the server to close the connection of the silent stream", firstRequest.closed)
 			sendTo(t, secondRequest, sseResponseHead+sseEvent(2)+sseEvent(3, nodeEntryJSON(2, "127.0.0.1:1", "in_service")))
@@ -127,20 +127,20 @@
 	}
 }
 
-// TestOldDiscoveryStreamIgnoredAfterMove checks a reload that moves the discovery watch to another address. The
-// watch must ignore data that still arrives from the discovery server at the old address, and must continue
-// after the last event received at the new address.
+// TestOldDiscoveryStreamIgnoredAfterMove checks a reload that moves the discovery watch to another address.
+// The watch must ignore data that still arrives from the discovery server at the old address. The stream from
+// the new address must continue after the last event that the server received from the old address.
 func TestOldDiscoveryStreamIgnoredAfterMove(t *testing.T) {
 	server := startServer(t, 256)
 	oldDiscovery, newDiscovery := startRawDiscoveryServer(t, listenOn(t, "127.0.0.1:0")), startRawDiscoveryServer(t, listenOn(t, "127.0.0.1:0"))
 	server.reloadWithDiscovery(oldDiscovery.addr())
-	oldRequest := waitFor(t, "a request to the discovery server", oldDiscovery.requests)
+	oldRequest := waitFor(t, "a request to the discovery server at the old address", oldDiscovery.requests)
 	sendTo(t, oldRequest, sseResponseHead+sseEvent(2)+"id: 3\ndata: ")
 	server.waitForEvent(2)
 	newConfig := server.configWithDiscovery(newDiscovery.addr())
 	lateEvent := discoveryEventJSON(3, nodeEntryJSON(7, "127.0.0.1:1", "in_service")) + "\n\n"
 	server.blockLoopDuring(func() { sendTo(t, oldRequest, lateEvent) }, func() { server.Reload(newConfig) })
-	newRequest := waitFor(t, "a request to the discovery server", newDiscovery.requests)
+	newRequest := waitFor(t, "a request to the discovery server at the new address", newDiscovery.requests)
 	if newRequest.lastEventID != "2" {
 		t.Errorf("the request at the new address has Last-Event-ID %q, want 2", newRequest.lastEventID)
 	}
@@ -149,13 +149,14 @@
 	server.waitForEvent(3)
 	server.runOnLoop(func() {
 		if server.stats.WatchesOpened != 3 || len(server.nodes.byID) != 0 {
-			t.Errorf("the server requested %d discovery streams and has links to %d nodes, want 3 streams and no links", server.stats.WatchesOpened, len(server.nodes.byID))
+			t.Errorf("the server requested %d discovery streams and has links to %d nodes, want 3 streams and links to no nodes", server.stats.WatchesOpened, len(server.nodes.byID))
 		}
 	})
 }
 
-// TestDiscoveryMovesBeforeServerListens checks that a reload may move the discovery watch to an address before
-// a discovery server listens there, and that a later reload may move the watch back to the first address.
+// TestDiscoveryMovesBeforeServerListens checks that a reload may move the discovery watch to an address on
+// which no discovery server listens yet. It also checks that a later reload may move the watch back to the
+// first address.
 func TestDiscoveryMovesBeforeServerListens(t *testing.T) {
 	server := startServer(t, 256)
 	firstDiscovery := startRawDiscoveryServer(t, listenOn(t, "127.0.0.1:0"))
@@ -167,11 +168,11 @@
 	unusedAddr := unusedListener.Addr().String()
 	closeNow(t, unusedListener)
 	server.reloadWithDiscovery(unusedAddr)
-	openedBefore := uint64(0)
-	server.runOnLoop(func() { openedBefore = server.stats.WatchesOpened })
-	server.waitUntil("two requests to the unused address", func() bool { return server.stats.WatchesOpened >= openedBefore+2 })
+	watchesOpenedBefore := uint64(0)
+	server.runOnLoop(func() { watchesOpenedBefore = server.stats.WatchesOpened })
+	server.waitUntil("two requests to the unused address", func() bool { return server.stats.WatchesOpened >= watchesOpenedBefore+2 })
 	secondDiscovery := startRawDiscoveryServer(t, listenOn(t, unusedAddr))
-	request := waitFor(t, "a request to the discovery server", secondDiscovery.requests)
+	request := waitFor(t, "a request to the discovery server at the second address", secondDiscovery.requests)
 	if request.lastEventID != "2" {
 		t.Errorf("the request at the second address has Last-Event-ID %q, want 2", request.lastEventID)
 	}
--- a/internal/platform/server/fixture_test.go
+++ b/internal/platform/server/fixture_test.go
@@ -19,11 +19,11 @@
 	"heathshed/placer"
 )
 
-// testTimeout is the maximum time for which a test waits for one event. It is longer than any test needs.
+// testTimeout is the maximum time for which a test waits for one event. A test that passes waits much less.
 const testTimeout = 20 * time.Second
 
-// testSettings are the settings of a scheduler with the task classes "query" (idempotent) and "seats" (at most
-// once), one tenant, one zone and one node type.
+// testSettings are the settings of a scheduler with the task classes "query" (idempotent) and "seats" (at
+// most once), one tenant, one zone and one node type.
 const testSettings = `{"discovery":"ask","me":0,"myZone":0,"peersTotal":1,"flavors":["std"],"zones":["a"],
  "extra":{"admitMemory":1.5,"apartBy":["none","none"],"classKind":[-1,-1],"checkAfterS":2,"coresByKind":[8],"cpuBooking":20,"freeInList":true,
   "fullUpTo":[1,0.8],"fadesOver":[1,0.2],"kindMemory":[16],"saysYes":"accepted","youngLimit":12},
@@ -42,8 +42,8 @@
 		`"extras":"cores:1;memory:1;service:0000000000000005"},"body":%s}`+"\n", id, class, id, body)
 }
 
-// adoptMessage returns a launch message that requests the adoption of a task. The task runs already on the node
-// with the given number.
+// adoptMessage returns a launch message that requests the adoption of a task. The task runs already on the
+// node with the given number.
 func adoptMessage(id, node int) string {
 	return strings.Replace(launchMessage(id, "query", `"x"`), "service:", fmt.Sprintf("at:s-%08x;service:", node), 1)
 }
@@ -60,7 +60,7 @@
 }
 
 // waitFor receives a value from a channel. It fails the test if no value arrives within testTimeout. The
-// failure message contains the description of what was awaited.
+// description completes the failure message "timed out waiting for".
 func waitFor[T any](t *testing.T, description string, ch <-chan T) T {
 	t.Helper()
 	select {
@@ -143,8 +143,8 @@
 		"known":{"no":1,"items":[%s]},"settings":%s}`, discoveryAddr, openFileLimit, event, settings)
 }
 
-// runServer starts a server with its own event loop and stops the loop at the end of the test. It then checks
-// that no illegal transition of a connection state was counted.
+// runServer starts a server with its own event loop. At the end of the test, it stops the event loop and
+// checks that the server has counted no illegal transition of a connection state.
 func runServer(t *testing.T, config *Config, policy eventqueue.Placer) *testServer {
 	t.Helper()
 	loop, err := eventloop.New()
@@ -163,9 +163,9 @@
 	}()
 	t.Cleanup(func() {
 		loop.Stop()
-		waitFor(t, "the end of the event loop", server.stopped)
+		waitFor(t, "the event loop to end", server.stopped)
 		if illegalTransitions := server.stats.IllegalTransitions; illegalTransitions != 0 {
-			t.Errorf("%d illegal transitions of connection states were counted, want none", illegalTransitions)
+			t.Errorf("the server counted %d illegal transitions of connection states, want none", illegalTransitions)
 		}
 	})
 	return server
@@ -179,12 +179,12 @@
 		function()
 		close(functionReturned)
 	})
-	waitFor(server.t, "a function that runs on the event loop", functionReturned)
+	waitFor(server.t, "the function on the event loop to return", functionReturned)
 }
 
-// blockLoopDuring blocks the event loop while whileBlocked runs on the calling goroutine, and then runs
-// afterUnblocking on the event loop in the same iteration. What whileBlocked sends reaches the kernel's buffers
-// at once, but the event loop reads it only after the iteration.
+// blockLoopDuring blocks the event loop while whileBlocked runs on the calling goroutine. The event loop then
+// runs afterUnblocking in the same iteration. Data that whileBlocked sends reaches the buffers of the kernel
+// at once, but the event loop reads this data only after the iteration.
 func (server *testServer) blockLoopDuring(whileBlocked, afterUnblocking func()) {
 	server.t.Helper()
 	loopBlocked, unblockLoop, loopUnblocked := make(chan struct{}), make(chan struct{}), make(chan struct{})
@@ -202,8 +202,9 @@
 	waitFor(server.t, "the event loop to continue", loopUnblocked)
 }
 
-// waitUntil evaluates a condition on the event loop every millisecond until it is true. It fails the test if
-// the condition is not true within testTimeout. The failure message contains the description.
+// waitUntil evaluates a condition on the event loop every millisecond until the condition is true. If this
+// takes longer than testTimeout, waitUntil fails the test. The description completes the failure message
+// "timed out waiting for".
 func (server *testServer) waitUntil(description string, condition func() bool) {
 	server.t.Helper()
 	conditionMet := make(chan struct{})
@@ -237,8 +238,8 @@
 	return count
 }
 
-// backdateClients makes it appear as if all client connections were opened, and last received a message, 10 s
-// earlier than they did. It must be called on the event loop.
+// backdateClients moves two times of every client connection back by 10 s: the time at which the connection
+// was opened and the time of the last message on it. It must be called on the event loop.
 func (server *testServer) backdateClients() {
 	for _, client := range server.clients.byID {
 		client.openedAt = client.openedAt.Add(-10 * time.Second)
@@ -246,8 +247,8 @@
 	}
 }
 
-// finishStopNow starts the final phase of a graceful stop as if the stop had been requested a second ago. It
-// must be called on the event loop.
+// finishStopNow starts the final phase of a graceful stop at once. The server then behaves as if the stop had
+// been requested a second ago. finishStopNow must be called on the event loop.
 func (server *testServer) finishStopNow() {
 	server.shutdown.requested = true
 	server.shutdown.requestedAt = server.loop.Now().Add(-time.Second)
@@ -275,7 +276,8 @@
 	return &testClient{conn, server.t, bufio.NewReader(conn)}
 }
 
-// connectAndCheck opens a client connection to the server, sends a health check on it and waits for the answer.
+// connectAndCheck opens a client connection to the server, sends a health check on it and waits for the
+// answer.
 func (server *testServer) connectAndCheck() *testClient {
 	server.t.Helper()
 	client := server.connect()
@@ -289,7 +291,7 @@
 	sendTo(client.t, client.Conn, text)
 }
 
-// runTask requests the placement of a task and waits until the client is notified that the task runs.
+// runTask requests the placement of a task and waits for the message to the client that the task runs.
 func (client *testClient) runTask(id int, class string) {
 	client.t.Helper()
 	client.launch(id, class)
@@ -311,12 +313,12 @@
 	client.t.Helper()
 	line, err := client.reader.ReadString('\n')
 	if err != nil {
-		client.t.Fatalf("reading a line from the server failed: %v", err)
+		client.t.Fatalf("reading a line from the server on a client connection failed: %v", err)
 	}
 	return line
 }
 
-// expectMessage reads lines from the server until a line contains all parts, and returns that line.
+// expectMessage reads lines from the server until a line contains all the given parts, and returns that line.
 func (client *testClient) expectMessage(parts ...string) string {
 	client.t.Helper()
 	for {
@@ -327,11 +329,11 @@
 	}
 }
 
-// expectNextMessage fails the test unless the next line from the server contains all parts.
+// expectNextMessage fails the test unless the next line from the server contains all the given parts.
 func (client *testClient) expectNextMessage(parts ...string) {
 	client.t.Helper()
 	if line := client.readLine(); !containsAll(line, parts...) {
-		client.t.Fatalf("the server sent the line %q, want a line that contains all of %q", line, parts)
+		client.t.Fatalf("the server sent the client the line %q, want a line that contains all of %q", line, parts)
 	}
 }
 
@@ -339,7 +341,7 @@
 func (client *testClient) expectClosed() {
 	client.t.Helper()
 	if line, err := client.reader.ReadString('\n'); err != io.EOF {
-		client.t.Fatalf("got line %q and error %v, want the server to close the connection without another line", line, err)
+		client.t.Fatalf("the client read line %q with error %v, want the server to close the client connection without another line", line, err)
 	}
 }
 
--- a/internal/platform/server/lines.go
+++ b/internal/platform/server/lines.go
@@ -11,8 +11,8 @@
 )
 
 // maxLinesPerIteration is the maximum number of lines of one client or node connection that are handled in
-// one iteration of the event loop. The limit keeps a connection on which many lines have arrived from
-// delaying the other connections.
+// one iteration of the event loop. Without this limit, a connection with many lines would delay the other
+// connections.
 const maxLinesPerIteration = 64
 
 // lineCost states whether a handled line counts towards maxLinesPerIteration.
@@ -36,8 +36,8 @@
 
 // readLines calls handle for each complete line of data, without its line feed. It stops after the number of
 // lines that maxLinesPerIteration allows and defers the remaining lines to the next iteration of the event
-// loop. It returns the number of bytes consumed. The error is that of handle, or protocol.ErrTooLong for a
-// line that is too long.
+// loop. It also stops if handle returns an error, and returns this error. For a line that is too long, it
+// returns protocol.ErrTooLong. The first result is the number of bytes consumed.
 func (reader *lineReader) readLines(conn *eventloop.Conn, data []byte, handle lineHandler) (int, error) {
 	consumed := 0
 	for handled := 0; handled < maxLinesPerIteration; {
@@ -85,14 +85,15 @@
 }
 
 // nextIncompleteSince returns when the incomplete message at the end of the input of a connection began to
-// arrive, or zero if the input ends with a complete message. previous is the last result for the same
-// connection, available is the number of bytes in the input, and consumed is how many of them were consumed.
-func nextIncompleteSince(previous, now clock.Instant, consumed, available int) clock.Instant {
+// arrive, or zero if the input ends with a complete message. previousSince is the previous result of this
+// function for the same connection. available is the number of bytes in the input, and consumed is the number
+// of these bytes that were handled as complete lines.
+func nextIncompleteSince(previousSince, now clock.Instant, consumed, available int) clock.Instant {
 	switch {
 	case consumed == available:
 		return 0
-	case consumed > 0 || previous.IsZero():
+	case consumed > 0 || previousSince.IsZero():
 		return now
 	}
-	return previous
+	return previousSince
 }
--- a/internal/platform/server/logging.go
+++ b/internal/platform/server/logging.go
@@ -11,11 +11,11 @@
 	"heathshed/internal/platform/protocol"
 )
 
-// maxWarningsPerSecond limits the number of logged warnings about invalid input and failures of clients, nodes
-// and the discovery server.
+// maxWarningsPerSecond limits the number of logged warnings about invalid input and failures of clients,
+// nodes and the discovery server.
 const maxWarningsPerSecond = 5
 
-// warningLimiter counts the warnings within a window of one second, in order to limit how many are logged.
+// warningLimiter limits how many warnings are logged. It counts the warnings within a window of one second.
 type warningLimiter struct {
 	windowStart clock.Instant
 	count       int
@@ -30,16 +30,17 @@
 	return limiter.count <= maxWarningsPerSecond
 }
 
-// warn logs a failure that a client, a node or the discovery server has caused, unless the number of warnings
-// exceeds maxWarningsPerSecond. peer is the address of the party that caused the failure.
+// warn logs a failure that a client, a node or the discovery server has caused. It logs nothing while the
+// number of warnings exceeds maxWarningsPerSecond. peer is the address of the party that caused the failure.
 func (s *Server) warn(message, peer string, err error) {
 	if s.warningLimiter.allow(s.loop.Now()) {
 		s.log.Warn().Str("peer", peer).Err(err).Msg(message)
 	}
 }
 
-// traceMessage logs a protocol message at trace level. direction states whether the server received or sent
-// the message, and whether the peer is a client or a node, for example "client>" or ">node".
+// traceMessage logs a protocol message at trace level. direction is the text of the log line: "client>" and
+// "node>" mean that the message was received from a client or node, and ">client" and ">node" mean that it is
+// sent to a client or node.
 func (s *Server) traceMessage(direction string, conn uint64, peer string, message *protocol.Message) {
 	if s.log.GetLevel() > zerolog.TraceLevel {
 		return
--- a/internal/platform/server/logging_test.go
+++ b/internal/platform/server/logging_test.go
@@ -11,8 +11,8 @@
 	"github.com/rs/zerolog"
 )
 
-// captureLog makes the server log at every level to a buffer and returns the buffer, which must only be read
-// on the event loop.
+// captureLog makes the server write its log, at every level, to a buffer and returns this buffer. The buffer
+// may be read only on the event loop.
 func (server *testServer) captureLog() *bytes.Buffer {
 	server.t.Helper()
 	var log bytes.Buffer
@@ -20,7 +20,7 @@
 	return &log
 }
 
-// expectLogLine waits until one line of the log contains all parts.
+// expectLogLine waits until one line of the log contains all of the given parts.
 func (server *testServer) expectLogLine(log *bytes.Buffer, parts ...string) {
 	server.t.Helper()
 	server.waitUntil("a log line with "+strings.Join(parts, " and "), func() bool {
@@ -33,8 +33,8 @@
 	})
 }
 
-// TestLogOfUnreadableMessage checks that a warning states why a client connection was closed if the client has
-// sent a line that cannot be read as a message.
+// TestLogOfUnreadableMessage checks that the server logs a warning with the reason when it closes a client
+// connection because of a line that is not a valid message.
 func TestLogOfUnreadableMessage(t *testing.T) {
 	server := startServer(t, 64)
 	log := server.captureLog()
@@ -42,8 +42,8 @@
 	server.expectLogLine(log, `"level":"warn"`, `"message":"client connection closed: message cannot be read"`)
 }
 
-// TestLogOfUnreadOutput checks that a warning states why a client connection was closed if the client does not
-// read the messages that the server sends.
+// TestLogOfUnreadOutput checks that the server logs a warning with the reason when it closes a client
+// connection because the client does not read the messages that the server sends.
 func TestLogOfUnreadOutput(t *testing.T) {
 	server := startServer(t, 64)
 	log := server.captureLog()
--- a/internal/platform/server/node_conn.go
+++ b/internal/platform/server/node_conn.go
@@ -55,8 +55,8 @@
 	message       protocol.Message
 }
 
-// setState changes the state of the connection. An illegal transition is a programming error. It is counted
-// and logged, and leaves the state unchanged.
+// setState changes the state of the node connection. An illegal transition is a programming error: setState
+// counts and logs it, and leaves the state unchanged.
 func (nc *nodeConn) setState(next nodeConnState) {
 	if !nc.state.canBecome(next) {
 		nc.link.server.recordIllegalTransition("node connection", uint64(nc.id), nc.state, next)
@@ -83,7 +83,7 @@
 	nc.conn.CommitOutput(message.Append(nc.conn.OutputBuffer()))
 }
 
-// sendHealthCheck sends a health check, unless an earlier health check on the connection is still unanswered.
+// sendHealthCheck sends a health check, unless an earlier health check on the node connection is unanswered.
 func (nc *nodeConn) sendHealthCheck() {
 	if nc.keepAlive.HealthCheckSent.IsZero() {
 		nc.keepAlive.HealthCheckSent = nc.link.server.loop.Now()
@@ -101,8 +101,8 @@
 	nc.link.connEstablished(nc)
 }
 
-// Data implements eventloop.Handler. It handles the complete lines that have arrived from the node and returns
-// the number of bytes consumed.
+// Data implements eventloop.Handler. It handles the complete lines that have arrived from the node and
+// returns the number of bytes consumed.
 func (nc *nodeConn) Data(conn *eventloop.Conn, data []byte) int {
 	s := nc.link.server
 	now := s.loop.Now()
@@ -121,9 +121,9 @@
 	return consumed
 }
 
-// handleLine parses one line from the node and passes the message to the dispatch core, unless it answers a
-// health check. If the node may not send such a line, it returns an error, and the caller closes the
-// connection.
+// handleLine parses one line from the node. It records the answer to a health check, and passes any other
+// message to the dispatch core. If the line is not a message or is a message that nodes may not send, it
+// returns an error, and the caller closes the node connection.
 func (nc *nodeConn) handleLine(line []byte) (lineCost, error) {
 	s := nc.link.server
 	if err := protocol.Parse(line, &nc.message); err != nil {
@@ -179,8 +179,8 @@
 	nc.reportLostAttempts()
 }
 
-// reportLostAttempts tells the dispatch core that the connection of the unanswered attempts has ended. It is
-// unknown whether the node received these attempts.
+// reportLostAttempts tells the dispatch core which unanswered attempts were sent on the node connection,
+// which has ended. It is unknown whether the node received these attempts.
 func (nc *nodeConn) reportLostAttempts() {
 	s := nc.link.server
 	unanswered := make([]*dispatch.Attempt, 0, len(nc.attempts))
--- a/internal/platform/server/node_fixture_test.go
+++ b/internal/platform/server/node_fixture_test.go
@@ -15,16 +15,16 @@
 	"golang.org/x/sys/unix"
 )
 
-// nodeHandler handles one line that a test node has received from the server, and may answer it. If it returns
-// an error, the node closes the connection.
+// nodeHandler handles one line that a test node has received from the server, and may answer it. If it
+// returns an error, the node closes the connection.
 type nodeHandler func(conn net.Conn, line string) error
 
-// testNode is a fake node of the platform. The server under test connects to it.
+// testNode is a fake node to which the server under test connects.
 type testNode struct {
 	t        *testing.T
 	addr     string
 	listener net.Listener
-	received chan string // received gets a copy of every line that the node receives from the server.
+	received chan string // received is a channel for a copy of every line that the node receives from the server.
 }
 
 // startNode starts a node that passes each line from the server to a handler.
@@ -53,8 +53,8 @@
 	}
 }
 
-// readLinesOf reads lines from a connection and passes each line to handle. When reading or handle fails, it
-// closes the connection and returns.
+// readLinesOf reads lines from a connection and passes each line to the function handle. When a read fails or
+// handle returns an error, readLinesOf closes the connection and returns.
 func readLinesOf(conn net.Conn, handle func(line string) error) {
 	defer conn.Close() //nolint:errcheck // the server may have closed it first
 	reader := bufio.NewReader(conn)
@@ -69,7 +69,8 @@
 	}
 }
 
-// respond formats a message like fmt.Sprintf and writes it to a connection with the server.
+// respond formats a message like fmt.Sprintf and writes it to the connection between a test node and the
+// server.
 func respond(conn net.Conn, format string, args ...any) error {
 	_, err := fmt.Fprintf(conn, format, args...)
 	return err
@@ -106,20 +107,20 @@
 // ignoreMessages is a nodeHandler that answers no message.
 func ignoreMessages(net.Conn, string) error { return nil }
 
-// expectNoLaunch fails the test if the server has sent a launch message that the node has not read yet. It
-// lets the client request one more task, and fails if a launch message for another task arrives before the
-// one for this task.
+// expectNoLaunch fails the test if the server has sent the node a launch message that should not have been
+// sent. To find such a message, it lets the client request one more task. No launch message for another task
+// may arrive at the node before the launch message for this last task.
 func (node *testNode) expectNoLaunch(client *testClient) {
 	node.t.Helper()
-	const lastTask = 0xff
-	client.launch(lastTask, "query")
+	const lastTaskID = 0xff
+	client.launch(lastTaskID, "query")
 	for {
 		line := waitFor(node.t, "the launch message for the last task at the node", node.received)
-		if taskUID(line) == fmt.Sprintf("%016x", lastTask) {
+		if taskUID(line) == fmt.Sprintf("%016x", lastTaskID) {
 			return
 		}
 		if isLaunch(line) {
-			node.t.Fatalf("the server sent an attempt although the client had disconnected or canceled its request: %s", line)
+			node.t.Fatalf("the server sent the node an attempt for a request whose client had disconnected or canceled it: %s", line)
 		}
 	}
 }
--- a/internal/platform/server/node_link.go
+++ b/internal/platform/server/node_link.go
@@ -17,8 +17,8 @@
 	"heathshed/placer"
 )
 
-// maxPendingBytes limits the encoded messages that wait for a connection to one node. Once their size has
-// reached this limit, further messages to the node are discarded.
+// maxPendingBytes limits the total size of the encoded messages that wait for a connection to one node. Once
+// these messages have reached this size, further messages to the node are discarded.
 const maxPendingBytes = 64 << 10
 
 // nodeLink manages the connections to one node, and the attempts and messages that wait for a connection to
@@ -33,13 +33,13 @@
 	queuedAttempts  []*dispatch.Attempt // queuedAttempts contains the attempts that wait for the dial to succeed.
 	pendingMessages []byte              // pendingMessages contains encoded messages that wait for a connection to the node.
 	backoff         retry.Backoff
-	retryAt         clock.Instant // retryAt is the earliest time of the next dial after a failed one.
+	retryAt         clock.Instant // retryAt is the earliest time of the next dial after a failed dial.
 	disconnectedAt  clock.Instant // disconnectedAt is when a connection to the node last ended, or zero if none has ended.
 	reachability    connpool.Reachability
 	hasTasks        bool // hasTasks states whether the node ran tasks at the last call of maintain.
-	// needsConn states whether maintain has decided, at its last call, that the node must be dialed. A node
-	// must be dialed if it runs tasks or messages to it are pending, no connection to it exists, and dialing
-	// it is allowed.
+	// needsConn states whether the last call of maintain decided that the node must be dialed. A node must be
+	// dialed if it has no connection although running tasks or pending messages require one, and if the node
+	// may be dialed.
 	needsConn bool
 }
 
@@ -65,8 +65,8 @@
 }
 
 // sendMessage sends the message of an effect to the node. It uses the connection on which the attempt of the
-// effect was sent, or another established connection if that one has ended. If no connection to the node is
-// established, the message is sent once a dial succeeds.
+// effect was sent. If that connection has ended, it uses another established connection to the node. If none
+// is established, the message is sent once a dial succeeds.
 func (link *nodeLink) sendMessage(effect *dispatch.Effect) {
 	nc := link.connByID(effect.Attempt.NodeConn)
 	if nc != nil {
@@ -125,8 +125,8 @@
 	return nil
 }
 
-// dial starts to open a connection to the node, unless one is being dialed already. It reports failures in a
-// later iteration of the event loop.
+// dial starts to open a connection to the node, unless a dial is already in progress. If the connection
+// cannot be opened, dialFailed is called in a later iteration of the event loop.
 func (link *nodeLink) dial() {
 	if link.dialing != nil {
 		return
@@ -149,8 +149,8 @@
 	s.nodes.takeSlot()
 }
 
-// connEstablished adds a connection that was just established. It sends the pending messages and schedules the
-// queued attempts.
+// connEstablished adds a connection that was just established. It sends the pending messages and schedules
+// the queued attempts.
 func (link *nodeLink) connEstablished(nc *nodeConn) {
 	s := link.server
 	link.reachability.Received(s.loop.Now())
@@ -171,8 +171,8 @@
 	s.applyReadyEffects()
 }
 
-// dialFailed records a failed dial and tells the dispatch core that no connection could be established for the
-// queued attempts.
+// dialFailed records a failed dial and tells the dispatch core that no connection could be established for
+// the queued attempts.
 func (link *nodeLink) dialFailed(err error) {
 	s := link.server
 	s.stats.NodeDialsFailed++
@@ -200,8 +200,8 @@
 	}
 }
 
-// maintain closes connections to the node that are idle or unresponsive, and decides whether the node must be
-// dialed. It removes the link if the node has terminated and runs no tasks.
+// maintain closes idle and unresponsive connections to the node, and decides whether the node must be dialed.
+// It removes the link some time after the node has terminated, once no task runs on the node.
 func (link *nodeLink) maintain() {
 	s := link.server
 	now := s.loop.Now()
--- a/internal/platform/server/node_link_test.go
+++ b/internal/platform/server/node_link_test.go
@@ -12,9 +12,9 @@
 	"time"
 )
 
-// TestTaskEndRedeliveredAfterCorruptMessage checks that the server connects again to a node with running tasks
-// after it closed the connection because of a corrupt message. The node reports the end of its task only on
-// the second connection.
+// TestTaskEndRedeliveredAfterCorruptMessage checks that the server connects to a node again after it has
+// closed the connection because of a corrupt message. A task runs on the node, and the node reports the end
+// of this task only on the second connection.
 func TestTaskEndRedeliveredAfterCorruptMessage(t *testing.T) {
 	var mu sync.Mutex
 	runningUID := "" // runningUID is the uid of the task on the node; the mutex mu guards it.
@@ -47,8 +47,8 @@
 	client.expectMessage(`"stop"`, `"reason":16`)
 }
 
-// startServerWithUnresponsiveTimeout starts a node that does not answer health checks and a server that
-// declares the node unresponsive after the given time. It returns both, with a client whose task 1 runs on the
+// startServerWithUnresponsiveTimeout starts a node that does not answer health checks. It also starts a
+// server that declares the node unresponsive after the given time, and a client whose task 1 runs on the
 // node.
 func startServerWithUnresponsiveTimeout(t *testing.T, after time.Duration) (*testNode, *testServer, *testClient) {
 	t.Helper()
@@ -60,8 +60,8 @@
 	return node, server, client
 }
 
-// TestUnreachableNodes checks that the tasks of a node that cannot be reached are reported to their clients as
-// lost, whether the node refuses connections or dials to it time out.
+// TestUnreachableNodes checks that a task is reported to its client as lost if its node cannot be reached.
+// The node either refuses connections, or dials to it time out.
 func TestUnreachableNodes(t *testing.T) {
 	for _, failure := range []string{"node refuses connections", "dials to the node time out"} {
 		t.Run(failure, func(t *testing.T) {
@@ -76,7 +76,7 @@
 			client.expectMessage(`"stop"`, `"reason":41`)
 			server.runOnLoop(func() {
 				if server.stats.NodesUnreachable != 1 || server.core.RunningTasks() != wantRunning || server.core.Counts.TasksLost != 1 {
-					t.Errorf("want 1 unreachable node, 1 lost task and the expected number of running tasks, got the counters %+v and %+v",
+					t.Errorf("want 1 unreachable node, 1 lost task, and 1 running task only if dials time out; got the counters %+v and %+v",
 						server.stats, server.core.Counts)
 				}
 			})
@@ -84,9 +84,9 @@
 	}
 }
 
-// TestUnresponsiveNodeReturns checks the case that a node is declared unresponsive, the client is notified that
-// its task on the node is lost, and the node then returns with the task. The server must tell the node to stop
-// the task, and must count the task as running until the node reports its end.
+// TestUnresponsiveNodeReturns checks a node that returns after it was declared unresponsive. The client was
+// notified that its task is lost, but the task still runs on the node. The server must tell the node to stop
+// the task, and must count the task as running until the node reports the end of the task.
 func TestUnresponsiveNodeReturns(t *testing.T) {
 	t.Parallel()
 	node, server, client := startServerWithUnresponsiveTimeout(t, 500*time.Millisecond)
@@ -96,7 +96,7 @@
 	client.expectMessage(`"stop"`, `"reason":41`)
 	server.runOnLoop(func() {
 		if runningTasks := server.core.RunningTasks(); runningTasks != 1 {
-			t.Errorf("the server counts %d running tasks before the node reported the end of its task, want 1", runningTasks)
+			t.Errorf("the server counts %d running tasks before the node has reported the end of its task, want 1", runningTasks)
 		}
 	})
 	stopListening()
@@ -119,9 +119,10 @@
 	client.expectNextMessage(`"checked"`) // The server has sent the client no other message about the task.
 }
 
-// TestUnresponsiveConnectionIsAvoided checks that the server sends no further attempt on a node connection on
-// which an attempt timed out, until the node has answered a health check on it. The node never answers on its
-// first connection, but answers on other connections, so the server must open another connection to the node.
+// TestUnresponsiveConnectionIsAvoided checks that the server sends no further attempt on a node connection
+// after an attempt on it has timed out and while a health check on it is unanswered. The node never answers
+// on its first connection, but answers on other connections, so the server must open another connection to
+// the node.
 func TestUnresponsiveConnectionIsAvoided(t *testing.T) {
 	var mu sync.Mutex
 	var unresponsiveConn net.Conn
@@ -147,9 +148,9 @@
 	t.Error("the server sent all attempts on the unresponsive node connection, want a new connection to the node")
 }
 
-// TestNodeConnectionLimit checks that node connections stay within their share of the file descriptors. If no
-// connection slot is free for an attempt, the attempt fails without taking the slot of a busy connection, and
-// the node of the attempt does not count as unreachable.
+// TestNodeConnectionLimit checks that node connections stay within their share of the file descriptors. If
+// all connection slots are used by busy connections, an attempt that needs a new connection fails. The node
+// of this attempt must not count as unreachable.
 func TestNodeConnectionLimit(t *testing.T) {
 	var nodeAddrs []string
 	for range 30 {
@@ -169,10 +170,10 @@
 	})
 }
 
-// TestNodesShareConnectionSlots checks that nodes use the connection slots in turn if more nodes run tasks than
-// slots exist. A turn of a node begins when the server connects to it. Between two turns of one node, every
-// other node may have at most two turns. With more turns of other nodes in between, a node could not report
-// the end of its tasks in time.
+// TestNodesShareConnectionSlots checks that nodes use the connection slots in turn if more nodes run tasks
+// than slots exist. A turn of a node begins when the server connects to it. Between two turns of one node,
+// every other node may have at most two turns. With more turns of other nodes in between, a node could not
+// report the end of its tasks in time.
 func TestNodesShareConnectionSlots(t *testing.T) {
 	const nodeCount, turnsPerNode = 40, 4
 	acceptedBy := make(chan int, 10000) // acceptedBy receives the index of a node whenever the server connects to it.
@@ -219,14 +220,14 @@
 	server.runOnLoop(func() {
 		slotsSuffice := server.nodes.maxConns >= nodeCount/2+5
 		if server.core.RunningTasks() != nodeCount || server.nodes.openConns > server.nodes.maxConns || slotsSuffice {
-			t.Errorf("the server counts %d running tasks and uses %d of %d connection slots, want one task per node and fewer slots than nodes",
+			t.Errorf("the server counts %d running tasks and uses %d of %d connection slots for nodes, want one task per node and too few slots for all nodes",
 				server.core.RunningTasks(), server.nodes.openConns, server.nodes.maxConns)
 		}
 	})
 }
 
 // TestLinksRemovedWithTerminatedNodes checks that the link to a node is removed some time after the node has
-// terminated, even if the tasks of the node ended only after its termination.
+// terminated. In this test, the tasks on the node end only after the termination of the node.
 func TestLinksRemovedWithTerminatedNodes(t *testing.T) {
 	node := startNode(t, acceptTask)
 	server := startServer(t, 256, node.addr)
@@ -240,8 +241,8 @@
 	server.waitUntil("the server to remove the links to all nodes", func() bool { return len(server.nodes.byID) == 0 })
 }
 
-// TestDialTimeout checks that a dial that times out releases its file descriptor and the attempts that wait for
-// it, and that the placement requests of these attempts are answered.
+// TestDialTimeout checks that a dial that times out releases its file descriptor. The attempts that wait for
+// the dial must end, and the placement requests of these attempts must be answered.
 func TestDialTimeout(t *testing.T) {
 	server := startServer(t, 256, listenUnresponsiveUntilCleanup(t, 0))
 	client := server.connect()
@@ -261,10 +262,11 @@
 	})
 }
 
-// TestFullListOmitsNode checks the case that a full list from the discovery server omits a node to which an
-// unanswered attempt was sent, with and without a running task on the node. If the next full list contains the
-// node again, no task or attempt may be lost. If it does not, all tasks on the node must be reported as lost,
-// even if the node accepts the attempt after the full list that omits it.
+// TestFullListOmitsNode checks the case that a full list of nodes from the discovery server omits a node to
+// which an unanswered attempt was sent. If the next full list contains the node again, no task or attempt may
+// be lost. Otherwise, all tasks on the node must be reported as lost. This includes the task of the attempt,
+// which the node accepts only after the full list that omits it. The test runs with and without another task
+// that already runs on the node.
 func TestFullListOmitsNode(t *testing.T) {
 	for _, test := range []struct{ listedAgain, taskRuns bool }{{true, true}, {true, false}, {false, true}, {false, false}} {
 		t.Run(fmt.Sprintf("%+v", test), func(t *testing.T) {
@@ -306,7 +308,7 @@
 			if test.listedAgain {
 				server.runOnLoop(func() {
 					if runningTasks := server.core.RunningTasks(); runningTasks != wantTasks {
-						t.Errorf("the server counts %d running tasks after the node was listed again, want %d", runningTasks, wantTasks)
+						t.Errorf("the server counts %d running tasks after the discovery server listed the node again, want %d", runningTasks, wantTasks)
 					}
 				})
 				return
--- a/internal/platform/server/node_links.go
+++ b/internal/platform/server/node_links.go
@@ -17,7 +17,7 @@
 // unresponsiveTimeout and refusedTimeout determine when a node that runs tasks is declared unreachable. Both
 // must be shorter than 8 s, because a client must be notified within 8 s of the end of its task.
 const (
-	// unresponsiveTimeout is the time without data from the node, and with failed dials to it, after which the
+	// unresponsiveTimeout is how long the node may send no data while dials to it fail. After this time, the
 	// node is declared unreachable.
 	unresponsiveTimeout = 6 * time.Second
 	// refusedTimeout is how long the node must refuse connections before it is declared unreachable. A node
@@ -25,13 +25,13 @@
 	refusedTimeout = time.Second
 )
 
-// slotHoldTime is how long a connection to a node that runs tasks keeps its connection slot if more nodes run
-// tasks than slots exist. The nodes then use the slots in turn, and each node gets a slot often enough to
-// report the end of a task within 8 s.
+// slotHoldTime is the time for which a new connection to a node that runs tasks is not evicted. If more nodes
+// run tasks than connection slots exist, the nodes use the slots in turn. With this hold time, each node gets
+// a slot often enough to report the end of a task within 8 s.
 const slotHoldTime = 2 * time.Second
 
-// minDialBackoff and maxDialBackoff are the bounds of the delay between a failed dial and the next dial of the
-// same node.
+// minDialBackoff and maxDialBackoff are the bounds of the delay between a failed dial and the next dial of
+// the same node.
 const (
 	minDialBackoff = 200 * time.Millisecond
 	maxDialBackoff = time.Second
@@ -88,8 +88,8 @@
 	return link
 }
 
-// updateAddresses closes the connections to each node whose address has changed. Later connections to the node
-// use the new address.
+// updateAddresses closes the connections to each node whose address has changed. Later connections to the
+// node use the new address.
 func (links *nodeLinks) updateAddresses() {
 	links.server.core.EachNode(func(node *dispatch.Node) {
 		link := links.byID[node.ID]
@@ -123,9 +123,9 @@
 	links.reconnect()
 }
 
-// reconnect dials the nodes that need a connection. It begins with the node that has been without a connection
-// for the longest time. If more nodes need a connection than slots exist, each node then gets a connection in
-// time to report the end of a task.
+// reconnect dials the nodes that need a connection. It begins with the node that has been without a
+// connection for the longest time. With this order, each node gets a connection in time to report the end of
+// a task even if more nodes need a connection than slots exist.
 func (links *nodeLinks) reconnect() {
 	now := links.server.loop.Now()
 	links.linksToDial = links.linksToDial[:0]
@@ -151,8 +151,8 @@
 	return links.openConns < links.maxConns || links.evict()
 }
 
-// evict closes the node connection that is least likely to be needed. It returns false if every node
-// connection is busy, because then it closes none.
+// evict closes the node connection that is least likely to be needed and returns true. If every node
+// connection is busy, it closes none and returns false.
 func (links *nodeLinks) evict() bool {
 	now := links.server.loop.Now()
 	var candidates []memquota.EvictionCandidate
--- a/internal/platform/server/server.go
+++ b/internal/platform/server/server.go
@@ -1,9 +1,9 @@
 //go:build linux
 
 // Package server runs one scheduler on the shared platform. The shared platform is an environment that starts
-// and stops schedulers, and whose clients and nodes use the protocol of package protocol instead of the
-// Kubernetes API. The server accepts the connections of clients, connects to nodes and watches the platform's
-// discovery server, all on one event loop.
+// and stops schedulers. Its clients and nodes use the protocol of package protocol instead of the Kubernetes
+// API. The server accepts the connections of clients, connects to nodes and watches the platform's discovery
+// server, all on one event loop.
 //
 // The package manages connections and transfers messages. It makes no placement decisions: it parses messages
 // and passes them to the dispatch core, which is a dispatch.Core from package dispatch, and carries out the
@@ -34,14 +34,14 @@
 const (
 	defaultOpenFileLimit = 4096 // defaultOpenFileLimit is the limit on file descriptors if the configuration sets none.
 	minOpenFileLimit     = 64   // minOpenFileLimit is the smallest limit on file descriptors that a configuration may set.
-	reservedDescriptors  = 16   // reservedDescriptors is the number kept free for files, the event loop and the discovery watch.
+	reservedDescriptors  = 16   // reservedDescriptors is the number of file descriptors for files, the event loop and the discovery watch.
 )
 
 // seedStream is the second half of the seed of the server's random numbers; the first half is Config.Seed. It
 // makes these numbers independent of other random numbers that use the same Config.Seed.
 const seedStream = 0x6a09e667f3bcc908
 
-// Server is one scheduler on the shared platform.
+// Server is a scheduler whose clients and nodes use the protocol of package protocol.
 type Server struct {
 	loop   *eventloop.Loop
 	core   *dispatch.Core
@@ -53,7 +53,7 @@
 	warningLimiter warningLimiter
 	stats          Stats
 
-	coreTimer    *eventloop.Timer // coreTimer expires when the next timer of the dispatch core is due; nil if none is set.
+	coreTimer    *eventloop.Timer // coreTimer expires when the next timer of the dispatch core is due. It is nil if the core has none.
 	coreTimerDue placer.Seconds   // coreTimerDue is when coreTimer expires, in the time format of the dispatch core.
 
 	listener      *eventloop.Listener
--- a/internal/platform/server/server_test.go
+++ b/internal/platform/server/server_test.go
@@ -9,8 +9,8 @@
 	"testing"
 )
 
-// TestRequestEndToEnd checks that a placement request and a stop message are forwarded from a client to a node,
-// that the answer of the node is forwarded to the client, and that the fields of the messages are preserved.
+// TestRequestEndToEnd checks that the server forwards a placement request and a stop message from a client to
+// a node, and forwards the answer of the node to the client. The fields of the messages must be preserved.
 func TestRequestEndToEnd(t *testing.T) {
 	node := startNode(t, func(conn net.Conn, line string) error {
 		if err := acceptTask(conn, line); err != nil || !isLaunch(line) {
@@ -24,7 +24,7 @@
 	client.expectMessage(`"checked"`, `"0000000000000001"`, `"reason":1`)
 	body := `"9d\u0034\r\nc=IN \/"`
 	launch := launchMessage(7, "seats", body)
-	launch = strings.Replace(launch, `"left":`, `"idem":"e45e5817dae4","left":`, 1) // This adds an idempotency key.
+	launch = strings.Replace(launch, `"left":`, `"idem":"e45e5817dae4","left":`, 1) // This adds an idempotency key to the launch message.
 	for _, piece := range []string{launch[:10], launch[10:50], launch[50:]} {
 		client.send(piece)
 	}
@@ -40,13 +40,13 @@
 }
 
 // TestNodeFaultMovesTaskToAnotherNode checks that a task is placed on another node if the first node does not
-// accept it, whatever the fault of the first node is. Each subtest is named after the fault.
+// accept the task. The name of each subtest states the fault of the first node.
 func TestNodeFaultMovesTaskToAnotherNode(t *testing.T) {
 	const incompleteAnswer = `{"kind":"running","uid":%q,"bo`
 	for name, handle := range map[string]nodeHandler{
-		"node sends invalid data":       func(conn net.Conn, _ string) error { return respond(conn, "\x00\xff\x17 noise\n") },
-		"node sends a line without end": func(conn net.Conn, _ string) error { return respond(conn, "%s", strings.Repeat("x", 40<<10)) },
-		"node closes the connection within its answer": func(conn net.Conn, line string) error {
+		"node sends invalid data":                    func(conn net.Conn, _ string) error { return respond(conn, "\x00\xff\x17 noise\n") },
+		"node sends a long line without a line feed": func(conn net.Conn, _ string) error { return respond(conn, "%s", strings.Repeat("x", 40<<10)) },
+		"node closes the connection in the middle of its answer": func(conn net.Conn, line string) error {
 			if err := respond(conn, incompleteAnswer, taskUID(line)); err != nil {
 				return err
 			}
@@ -72,7 +72,7 @@
 			}
 			server.runOnLoop(func() {
 				if counts := server.core.Counts; counts.Bound != 6 || counts.Attempts <= 6 {
-					t.Errorf("want 6 placed tasks after more than 6 attempts, got the counters %+v", counts)
+					t.Errorf("want 6 placed tasks and, because of the faults, more than 6 attempts; got the counters %+v", counts)
 				}
 			})
 		})
@@ -86,17 +86,18 @@
 	server := startServer(t, 256, node.addr)
 	client := server.connect()
 	client.launch(1, "seats")
-	// Reason 34 states that the task never ran. The server knows this because the node refused all connections.
+	// Reason 34 states that the task never ran. The server knows this because the node refused all
+	// connections.
 	client.expectMessage(`"stop"`, `"reason":34`)
 	server.runOnLoop(func() {
 		if counts := server.core.Counts; counts.ConnectFailures == 0 || counts.ConnectionsLost+counts.TimedOut > 0 {
-			t.Errorf("want attempts that failed only because no connection could be established, got the counters %+v", counts)
+			t.Errorf("want only attempts that failed because no connection to the node could be established, got the counters %+v", counts)
 		}
 	})
 }
 
-// startConnectedServer starts a server and a node that accepts only task 1. It returns them when task 1 runs,
-// together with the client of task 1. The server then has an open connection to the node.
+// startConnectedServer starts a server and a node that accepts only task 1. It waits until task 1 runs and
+// the server has an open connection to the node. It returns the server, the node and the client of task 1.
 func startConnectedServer(t *testing.T) (*testServer, *testNode, *testClient) {
 	t.Helper()
 	node := startNode(t, func(conn net.Conn, line string) error {
@@ -112,24 +113,24 @@
 	return server, node, client
 }
 
-// TestNoAttemptAfterDisconnect checks that no attempt is sent for a placement request if the client closed its
-// connection or canceled the request before the first byte of the attempt was sent.
+// TestNoAttemptAfterDisconnect checks that the server sends no attempt for a placement request whose client
+// has closed its connection or canceled the request before the first byte of the attempt was sent.
 func TestNoAttemptAfterDisconnect(t *testing.T) {
 	manyHealthChecks := strings.Repeat(healthCheckMessage, maxLinesPerIteration+10)
 	launch, stop := launchMessage(2, "query", `"x"`), stopMessage(2, 16)
 	for name, cancelOrClose := range map[string]func(client *testClient){
-		"client closes after its request":                   func(client *testClient) { client.send(launch); client.close() },
-		"client cancels in the same segment as its request": func(client *testClient) { client.send(launch + stop) },
-		"client cancels many lines after its request":       func(client *testClient) { client.send(launch + manyHealthChecks + stop) },
-		"client closes many lines after its request":        func(client *testClient) { client.send(manyHealthChecks + launch + manyHealthChecks); client.close() },
-		"client resets the connection after its request": func(client *testClient) {
+		"client closes its connection after the request":                      func(client *testClient) { client.send(launch); client.close() },
+		"request and cancellation arrive in one TCP segment":                  func(client *testClient) { client.send(launch + stop) },
+		"cancellation arrives many lines after the request":                   func(client *testClient) { client.send(launch + manyHealthChecks + stop) },
+		"client closes its connection after the request and many other lines": func(client *testClient) { client.send(manyHealthChecks + launch + manyHealthChecks); client.close() },
+		"client resets its connection after the request": func(client *testClient) {
 			client.send(launch)
 			if err := client.Conn.(*net.TCPConn).SetLinger(0); err != nil {
 				client.t.Fatal(err)
 			}
 			client.close()
 		},
-		"client sends its request and cancellation in single bytes": func(client *testClient) {
+		"request and cancellation are sent byte by byte": func(client *testClient) {
 			for _, char := range []byte(launch + stop) {
 				client.send(string([]byte{char}))
 			}
@@ -144,17 +145,18 @@
 	}
 }
 
-// TestDisconnectAndDialInSameIteration checks that an attempt is not sent in the following case: a dial to the
-// node of the attempt succeeds, and the client of the attempt disconnects, in the same iteration of the event
-// loop, and the event loop handles the node connection before the client connection.
+// TestDisconnectAndDialInSameIteration checks that an attempt is not sent if two events happen in the same
+// iteration of the event loop: the dial to the node of the attempt succeeds, and the client of the attempt
+// disconnects. The event loop handles the node connection first.
 func TestDisconnectAndDialInSameIteration(t *testing.T) {
 	node := startNode(t, ignoreMessages)
 	server := startServer(t, 256)
 	client := server.connect()
 	client.launch(2, "query")
 	server.waitUntil("the server to receive the request", func() bool { return server.core.OpenRequests() == 1 })
-	// The server knows no node yet. The attempt starts only after the following discovery event, long after the
-	// event loop has read the request, so the node connection is handled before the client connection.
+	// The server knows no node until it receives the following discovery event, so the attempt starts long
+	// after the event loop has read the request. For this reason, the event loop handles the node connection
+	// first.
 	request := waitFor(t, "a request to the discovery server", server.discovery.requests)
 	request.responseText <- sseEvent(2, nodeEntryJSON(1, node.addr, "in_service"))
 	dialStarted, clientClosed := make(chan struct{}), make(chan struct{})
@@ -179,11 +181,12 @@
 	node.expectNoLaunch(server.connect())
 }
 
-// TestAdoptionPrecedesPlacement checks that hundreds of running tasks whose adoption a client requests are
-// adopted before a placement request that arrives at the same time leads to an attempt.
+// TestAdoptionPrecedesPlacement checks adoption requests for hundreds of running tasks that arrive at the
+// same time as a placement request. The server must adopt all these tasks before it sends an attempt for the
+// placement request.
 func TestAdoptionPrecedesPlacement(t *testing.T) {
-	// The kernel buffers about this number of adoption requests per connection. If maxLinesPerIteration applied
-	// to adoption requests, reading them would take six iterations of the event loop.
+	// The kernel buffers about this number of adoption requests per connection. If maxLinesPerIteration
+	// applied to adoption requests, reading them would take six iterations of the event loop.
 	const adoptedTasks = 350
 	node := startNode(t, acceptTask)
 	server := startServer(t, 256, node.addr)
@@ -211,9 +214,9 @@
 	client.expectMessage(`"running"`, "0000000000000001")
 }
 
-// TestTaskEndReportedBeforeAcceptance checks the case that a node reports the end of a task, because the node
-// is draining, before it reports that it has accepted the task. The server must report the end to the client
-// and must not send the task to another node.
+// TestTaskEndReportedBeforeAcceptance checks a draining node that reports the end of a task before it reports
+// that it has accepted the task. The server must report the end to the client and must not send the task to
+// another node.
 func TestTaskEndReportedBeforeAcceptance(t *testing.T) {
 	node := startNode(t, func(conn net.Conn, line string) error {
 		if !isLaunch(line) {
@@ -230,14 +233,14 @@
 	client := server.connect()
 	client.launch(1, "query")
 	client.expectNextMessage(`"stop"`, `"reason":41`)
-	server.waitUntil("the node's report that it has accepted the task", func() bool { return server.core.Counts.UnknownTasks == 1 })
+	server.waitUntil("the node to report that it has accepted the task", func() bool { return server.core.Counts.UnknownTasks == 1 })
 	client.send(healthCheckMessage)
 	client.expectNextMessage(`"checked"`)
 }
 
-// TestDuplicateAnswersIgnored checks that the client gets exactly one acceptance and one end of its task if the
-// node repeats its messages, contradicts its first answer, and sends messages about a task that the server has
-// never requested.
+// TestDuplicateAnswersIgnored checks a node that repeats its messages, contradicts its first answer, and
+// sends messages about a task that the server has never requested. The client must be notified exactly once
+// that its task was accepted, and exactly once that the task has ended.
 func TestDuplicateAnswersIgnored(t *testing.T) {
 	node := startNode(t, func(conn net.Conn, line string) error {
 		if !isLaunch(line) {
@@ -263,12 +266,12 @@
 }
 
 // TestNodeReportsEndBeforeAdoption checks the case that two tasks end while the scheduler restarts. The node
-// reports both ends on its first connection to the restarted scheduler. The client requests the adoption of the
-// second task only after that, and must still be notified that both tasks have ended.
+// reports both ends on its first connection with the restarted scheduler. The client requests the adoption of
+// the second task only after these reports, and must still be notified that both tasks have ended.
 func TestNodeReportsEndBeforeAdoption(t *testing.T) {
 	listener := listenOn(t, "127.0.0.1:0")
-	// The node reports the end of each task only once. If it repeated the reports on every connection, the test
-	// would pass even if the scheduler forgot the first reports.
+	// The node reports the end of each task only once. If it repeated the reports on every connection, the
+	// test would pass even if the scheduler forgot the first reports.
 	go func() {
 		conn, err := listener.Accept()
 		if err != nil {
@@ -282,12 +285,12 @@
 	client := server.connect()
 	client.send(healthCheckMessage + adoptMessage(1, 1))
 	client.expectMessage(`"stop"`, "0000000000000001", `"reason":16`)
-	server.waitUntil("the node's report of the end of task 2, which is not adopted yet", func() bool { return server.core.Counts.UnknownTasks == 1 })
+	server.waitUntil("the node to report the end of task 2, which is not adopted yet", func() bool { return server.core.Counts.UnknownTasks == 1 })
 	client.send(adoptMessage(2, 1))
 	client.expectMessage(`"stop"`, "0000000000000002", `"reason":41`)
 	server.runOnLoop(func() {
 		if runningTasks := server.core.RunningTasks(); runningTasks != 0 {
-			t.Errorf("the server counts %d running tasks, want none", runningTasks)
+			t.Errorf("the server counts %d running tasks after the node reported the ends of both tasks, want none", runningTasks)
 		}
 	})
 }
--- a/internal/platform/server/settings_test.go
+++ b/internal/platform/server/settings_test.go
@@ -12,9 +12,9 @@
 	"heathshed/placer"
 )
 
-// TestUnusualSettings checks settings that no customer uses yet. Each of them must either be rejected with an
-// error that names the invalid setting, or result in a server that answers a placement request of each task
-// class.
+// TestUnusualSettings checks settings that no customer uses yet. Invalid settings must be rejected with an
+// error that names the invalid setting. With valid settings, the server must answer a placement request of
+// each task class.
 func TestUnusualSettings(t *testing.T) {
 	type object = map[string]any
 	subobject := func(settings object, name string) object { return settings[name].(object) }
@@ -24,7 +24,7 @@
 		wantError  string // wantError is a part of the expected error, or "" if the settings are valid.
 		wantPlaced bool   // wantPlaced states whether a task of each task class must be placed.
 	}{
-		"settings unchanged": {func(object) {}, "", true},
+		"test settings without a change": {func(object) {}, "", true},
 		"settings with unknown keys": {func(settings object) {
 			settings["später"] = []any{1}
 			subobject(settings, "extra")["x"] = object{"y": nil}
@@ -35,34 +35,34 @@
 			settings["orgs"].([]any)[0].(object)["name"] = "Straße\t1\u2028"
 			settings["zones"], settings["flavors"] = []any{"ж"}, []any{"größer als"}
 		}, "", true},
-		"an additional task class": {func(settings object) {
+		"settings with an additional task class": {func(settings object) {
 			settings["lanes"] = append(settings["lanes"].([]any), object{"name": "new", "effect": "deduplicated", "keyScope": "zone", "keyTtlS": 3.0, "hardLimitS": 2.0, "objectiveS": 0.5, "worth": 1.0})
 		}, "", true},
-		"forty task classes": {func(settings object) {
+		"settings with forty task classes": {func(settings object) {
 			var classes []any
 			for i := range 40 {
 				classes = append(classes, object{"name": fmt.Sprint("c", i), "effect": "idempotent", "hardLimitS": 2.0, "objectiveS": 0.5, "worth": 1.0})
 			}
 			settings["lanes"] = classes
 		}, "", false}, // The one node of this test does not have enough capacity for a task of each class.
-		"no tenants":            {func(settings object) { delete(settings, "orgs") }, "", true},
-		"no zones":              {func(settings object) { delete(settings, "zones") }, "", true},
-		"no node types":         {func(settings object) { delete(settings, "flavors") }, "", false},
-		"no load reports":       {func(settings object) { delete(settings, "loadReport") }, "", true},
-		"no object named rules": {func(settings object) { delete(settings, "rules") }, "", true},
-		"no lists with one value per task class": {func(settings object) {
+		"settings without tenants":          {func(settings object) { delete(settings, "orgs") }, "", true},
+		"settings without zones":            {func(settings object) { delete(settings, "zones") }, "", true},
+		"settings without node types":       {func(settings object) { delete(settings, "flavors") }, "", false},
+		"settings without load reports":     {func(settings object) { delete(settings, "loadReport") }, "", true},
+		"settings without the object rules": {func(settings object) { delete(settings, "rules") }, "", true},
+		"settings without the lists of values per task class": {func(settings object) {
 			extra := subobject(settings, "extra")
 			delete(extra, "apartBy")
 			delete(extra, "fullUpTo")
 			delete(extra, "fadesOver")
 			delete(extra, "classKind")
 		}, "", true},
-		"no connect timeout":                        {func(settings object) { delete(subobject(settings, "permissions"), "connectTimeoutS") }, "", true},
+		"settings without a connect timeout":        {func(settings object) { delete(subobject(settings, "permissions"), "connectTimeoutS") }, "", true},
 		"idle timeout of node connections is zero":  {func(settings object) { subobject(settings, "permissions")["connIdleS"] = 0 }, "", true},
 		"idle timeout of node connections is 10 ms": {func(settings object) { subobject(settings, "permissions")["connIdleS"] = 0.01 }, "", true},
 		"at most one attempt per request":           {func(settings object) { subobject(settings, "permissions")["mostTries"] = 1 }, "", true},
 		"at most zero attempts per request":         {func(settings object) { subobject(settings, "permissions")["mostTries"] = 0 }, "attempts", false},
-		"no task classes":                           {func(settings object) { settings["lanes"] = []any{} }, "class", false},
+		"settings without task classes":             {func(settings object) { settings["lanes"] = []any{} }, "class", false},
 		"task class without latency objective":      {func(settings object) { delete(classSettings(settings, 0), "objectiveS") }, "class 0: latency objective 0", false},
 		"task classes with deadlines of 0.3 s and less": {func(settings object) {
 			classSettings(settings, 0)["hardLimitS"], classSettings(settings, 1)["hardLimitS"] = 0.3, 0.25
@@ -70,11 +70,11 @@
 		"task classes with deadlines of an hour and a day": {func(settings object) {
 			classSettings(settings, 0)["hardLimitS"], classSettings(settings, 1)["hardLimitS"] = 3600.0, 86400.0
 		}, "", true},
-		"no attempts on nodes in slow start":  {func(settings object) { subobject(settings, "extra")["youngLimit"] = 0 }, "", true},
-		"three hundred schedulers":            {func(settings object) { settings["peersTotal"], settings["me"] = 300, 299 }, "", true},
-		"task class with an unknown effect":   {func(settings object) { classSettings(settings, 1)["effect"] = "sometimes" }, "lanes[1].effect", false},
-		"node types without memory":           {func(settings object) { subobject(settings, "extra")["kindMemory"] = []any{} }, "extra.kindMemory", false},
-		"string instead of a number in rules": {func(settings object) { subobject(settings, "rules")["fallS"] = "soon" }, "fallS", false},
+		"limit of zero for attempts on nodes in slow start": {func(settings object) { subobject(settings, "extra")["youngLimit"] = 0 }, "", true},
+		"settings for three hundred schedulers":             {func(settings object) { settings["peersTotal"], settings["me"] = 300, 299 }, "", true},
+		"task class with an unknown effect":                 {func(settings object) { classSettings(settings, 1)["effect"] = "sometimes" }, "lanes[1].effect", false},
+		"node types without memory":                         {func(settings object) { subobject(settings, "extra")["kindMemory"] = []any{} }, "extra.kindMemory", false},
+		"string instead of a number in rules":               {func(settings object) { subobject(settings, "rules")["fallS"] = "soon" }, "fallS", false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -102,7 +102,7 @@
 			}
 			if test.wantError != "" {
 				if err == nil || !strings.Contains(err.Error(), test.wantError) {
-					t.Fatalf("got error %v for invalid settings, want an error that contains %s", err, test.wantError)
+					t.Fatalf("the invalid settings led to the error %v, want an error that contains %s", err, test.wantError)
 				}
 				return
 			}
@@ -116,12 +116,12 @@
 				client.send(launchOfClass(t, config, i))
 				answer := client.expectMessage(fmt.Sprintf("%016x", i+1))
 				if time.Since(sentAt) > idleClientTimeout/2 {
-					// The server may close the client connection at any moment if it was silent for this long
-					// and no task was placed for it.
+					// The client connection has been silent for so long that the server may soon close it as
+					// idle, unless a request on it has led to a running task.
 					client = server.connectAndCheck()
 				}
 				if test.wantPlaced && !strings.Contains(answer, `"running"`) {
-					t.Errorf("the task of task class %q was not placed; the server answered %s", class, answer)
+					t.Errorf("the task of task class %q was not placed: the server answered %s, want an answer that the task runs", class, answer)
 				}
 			}
 		})
--- a/internal/platform/server/shutdown.go
+++ b/internal/platform/server/shutdown.go
@@ -8,22 +8,24 @@
 	"heathshed/internal/control/clock"
 )
 
-// These constants are the durations of the phases of a graceful stop, which begins when the platform signals
-// the scheduler to stop.
+// These constants are the durations of the phases of a graceful stop. A graceful stop begins when the
+// scheduler process receives a stop signal.
 const (
-	// acceptGrace is the time from the stop signal until the listener closes. On the platform, clients still
-	// open connections and send requests for at most 0.7 s after the stop signal.
+	// acceptGrace is the time from the stop signal until the listener closes. Clients still open connections
+	// and send requests for at most 0.7 s after the stop signal.
 	acceptGrace  = 850 * time.Millisecond
 	pollInterval = 10 * time.Millisecond  // pollInterval is the time between two checks of whether the stop can proceed.
-	closeGrace   = 500 * time.Millisecond // closeGrace is the time that clients have at the end to close their connections.
-	// minCloseGrace is the part of closeGrace that clients have even if the stop is already late. stopReserve
-	// is longer, so the platform does not kill the scheduler within this time.
+	closeGrace   = 500 * time.Millisecond // closeGrace is how long the server waits at the end of a stop for clients to close connections.
+	// minCloseGrace is how long the server waits for clients to close connections if the timeout of the stop
+	// leaves less time than closeGrace. It is shorter than stopReserve, so the scheduler is not killed while
+	// it waits.
 	minCloseGrace = 100 * time.Millisecond
 )
 
-// These constants determine when a graceful stop must be complete. The platform kills a scheduler some time
-// after the stop signal: after the longest deadline of all task classes, limited to maxStopDeadline, plus
-// stopMargin. The server stops earlier by stopReserve, in case the processor is busy.
+// These constants determine when a graceful stop must be complete, because the environment that started the
+// scheduler kills it some time after the stop signal. This time is the longest deadline of all task classes,
+// limited to maxStopDeadline, plus stopMargin. The server stops earlier by stopReserve, in case the processor
+// is busy.
 const (
 	maxStopDeadline = 3 * time.Second
 	stopMargin      = 700 * time.Millisecond
@@ -56,18 +58,19 @@
 	s.loop.After(acceptGrace, stop.finish)
 }
 
-// finish closes the listener, and closes the client connections once no placement request is open. While tasks
-// run, the server continues for as long as the platform reliably allows, in order to notify clients of tasks
-// that end. If no scheduler learns of the end of a task, the client of the task is notified late or never.
+// finish closes the listener. It closes the client connections once every placement request is answered. If
+// tasks still run or messages are incomplete, it first waits until the timeout of the stop at the latest.
+// While it waits, the server notifies clients of tasks that end. If no scheduler learned of the end of a
+// task, the client of the task would be notified late or never.
 func (stop *shutdown) finish() {
 	s := stop.server
 	if !s.listener.Closed() {
 		s.listener.AcceptPending()
 		s.listener.Close()
 	}
-	unread := s.clients.readAllConns()
+	inputRemains := s.clients.readAllConns()
 	withinTimeout := s.loop.Now() < stop.requestedAt.Add(stop.timeout())
-	if s.core.OpenRequests() > 0 || withinTimeout && (unread || stop.canNotifyClients()) {
+	if s.core.OpenRequests() > 0 || withinTimeout && (inputRemains || stop.canNotifyClients()) {
 		s.loop.After(pollInterval, stop.finish)
 		return
 	}
@@ -77,15 +80,16 @@
 	stop.awaitClientsClosed(max(now.Add(minCloseGrace), deadline))
 }
 
-// canNotifyClients reports whether tasks run whose end could still be reported to a connected client.
+// canNotifyClients reports whether a task is running and a client is connected. While this is the case, the
+// server may still learn of the end of a task and notify the client.
 func (stop *shutdown) canNotifyClients() bool {
 	s := stop.server
 	return s.core.RunningTasks() > 0 && len(s.clients.byID) > 0
 }
 
-// awaitClientsClosed completes the stop when all clients have closed their connections, at the latest at the
-// deadline. If the process ended while data from a client was unread, the kernel would reset the connection
-// of this client and discard answers that the client has not read yet.
+// awaitClientsClosed completes the stop when all clients have closed their connections, or when the deadline
+// has passed. If the process ended while data from a client was unread, the kernel would reset the connection
+// of this client. The client would then lose the answers that it has not read yet.
 func (stop *shutdown) awaitClientsClosed(deadline clock.Instant) {
 	s := stop.server
 	if len(s.clients.byID) > 0 && s.loop.Now() < deadline {
@@ -97,7 +101,8 @@
 	stop.onStopped()
 }
 
-// timeout returns how long the platform reliably lets a scheduler run after the stop signal.
+// timeout returns how long after the stop signal the server may wait for running tasks. The scheduler is
+// killed stopReserve after this time.
 func (stop *shutdown) timeout() time.Duration {
 	return min(stop.server.config.longestDeadline(), maxStopDeadline) + stopMargin - stopReserve
 }
--- a/internal/platform/server/shutdown_test.go
+++ b/internal/platform/server/shutdown_test.go
@@ -23,9 +23,9 @@
 	}
 }
 
-// TestStopAnswersAcceptedRequests checks that placement requests that arrive before and shortly after the start
-// of a graceful stop are answered, and that the end of a task is still reported to the client while the server
-// waits for running tasks.
+// TestStopAnswersAcceptedRequests checks that the server answers placement requests that arrive before or
+// shortly after the start of a graceful stop. While the server then waits for running tasks, it must still
+// report the end of a task to the client.
 func TestStopAnswersAcceptedRequests(t *testing.T) {
 	launches := make(chan unansweredLaunch, 10)
 	node := startNode(t, func(conn net.Conn, line string) error {
@@ -41,13 +41,13 @@
 	server.runOnLoop(func() { server.Stop(); server.Stop() })
 	lateClient := server.connect() // After the start of the stop, the server still accepts connections for acceptGrace.
 	lateClient.launch(2, "seats")
-	lateLaunch := waitFor(t, "the launch message for the task that was requested after the start of the stop", launches)
+	lateLaunch := waitFor(t, "the launch message for the task that the client requested after the stop began", launches)
 	earlyLaunch.accept(t)
 	lateLaunch.accept(t)
 	earlyClient.expectMessage(`"running"`)
 	lateClient.expectMessage(`"running"`)
-	// Both requests are answered and the listener is closed, but the tasks still run. The server must wait, in
-	// order to report the end of a task.
+	// Both requests are answered and the listener is closed, but the tasks still run. The server must not
+	// stop yet, because it can still report the end of a task.
 	server.waitUntil("the listener to close", func() bool { return server.listener.Closed() })
 	uid := taskUID(earlyLaunch.line)
 	sendTo(t, earlyLaunch.conn, fmt.Sprintf(`{"kind":"stop","uid":%q,"reason":16}`+"\n", uid))
@@ -55,13 +55,13 @@
 	waitFor(t, "the server to stop", server.stopped)
 }
 
-// TestStopServesAcceptBacklog checks that a client is answered during a graceful stop if the kernel accepted
-// its connection before the listener was closed, even if the server has not accepted the connection yet.
+// TestStopServesAcceptBacklog checks client connections that the kernel has accepted, but the server has not,
+// when a graceful stop closes the listener. The server must still answer the clients of these connections.
 func TestStopServesAcceptBacklog(t *testing.T) {
 	server := startServer(t, 2000, startNode(t, acceptTask).addr)
 	var clients []*testClient
 	server.blockLoopDuring(func() {
-		for i := range 150 { // One iteration of the event loop accepts fewer connections than this number.
+		for i := range 150 { // The event loop accepts fewer connections than this number in one iteration.
 			client := server.connect()
 			client.launch(i+1, "query")
 			clients = append(clients, client)
@@ -72,8 +72,8 @@
 	}
 }
 
-// TestStopServesIncompleteRequest checks that a placement request is answered if only a part of it has arrived
-// at the final phase of a graceful stop and the rest arrives later.
+// TestStopServesIncompleteRequest checks a placement request of which only a part has arrived when the final
+// phase of a graceful stop begins. The server must answer the request after the rest has arrived.
 func TestStopServesIncompleteRequest(t *testing.T) {
 	server := startServer(t, 256, startNode(t, acceptTask).addr)
 	client := server.connect()
@@ -85,9 +85,9 @@
 	client.expectMessage(`"running"`)
 }
 
-// TestStopFlushesAnswers checks that answers reach a client that sends data at the very end of a graceful stop.
-// If the process ended before the server has read this data, the kernel would reset the client connection and
-// discard answers that the client has not read yet.
+// TestStopFlushesAnswers checks that answers reach a client that sends data at the very end of a graceful
+// stop. If the process ended before the server had read this data, the kernel would reset the client
+// connection. The client would then lose the answers that it has not read yet.
 func TestStopFlushesAnswers(t *testing.T) {
 	node := startNode(t, func(conn net.Conn, line string) error {
 		if !isLaunch(line) {
--- a/internal/platform/server/stats.go
+++ b/internal/platform/server/stats.go
@@ -14,8 +14,8 @@
 // statsInterval is the time between two log lines that contain the counters.
 const statsInterval = 10 * time.Second
 
-// Stats contains counters of what happened on client, node and discovery connections since the server started.
-// It is logged as JSON under the names of its fields.
+// Stats contains counters of what happened on client, node and discovery connections since the server
+// started. It is logged as JSON under the names of its fields.
 type Stats struct {
 	ClientsAccepted    uint64 // ClientsAccepted counts accepted client connections.
 	IdleClientsClosed  uint64 // IdleClientsClosed counts client connections that were closed because they were idle.
@@ -53,7 +53,7 @@
 	Unreadable      uint64 `json:"unreadable,omitempty"` // Unreadable counts lines that are not valid messages; the connection is then closed.
 }
 
-// add increments the counter for the reason why a message or line was rejected with the given error.
+// add increments the counter for the reason why a message or line was rejected. The error states this reason.
 func (counters *InvalidInput) add(err error) {
 	*counters.counterForError(err)++
 }
--- a/internal/platform/server/stats_test.go
+++ b/internal/platform/server/stats_test.go
@@ -43,7 +43,7 @@
 				t.Fatal(err)
 			}
 			if string(text) != test.wantJSON {
-				t.Errorf("unexpected JSON form of the counters: %s", text)
+				t.Errorf("the JSON form of the counters is %s, want the JSON in the name of this subtest", text)
 			}
 		})
 	}
