--- a/internal/platform/protocol/decode.go
+++ b/internal/platform/protocol/decode.go
@@ -13,7 +13,7 @@
 // maxSkippedDepth is the maximum nesting depth of a value that is skipped because its key is unknown.
 const maxSkippedDepth = 8
 
-// ErrTooLong is returned for a line that is longer than MaxLineBytes.
+// ErrTooLong is the error of Parse for a line that is longer than MaxLineBytes.
 var ErrTooLong = errors.New("line is longer than 16 KiB")
 
 // keySet is a set of top-level keys of a message. It can contain only keys that the protocol defines.
@@ -107,17 +107,17 @@
 }
 
 func (p *parser) parseKind(msg *Message) error {
-	word, err := p.parseString()
+	kindName, err := p.parseString()
 	if err != nil {
 		return err
 	}
 	for kind, name := range kindNames {
-		if name != "" && name == word {
+		if name != "" && name == kindName {
 			msg.Kind = Kind(kind)
 			return nil
 		}
 	}
-	return fmt.Errorf("unknown message kind %.20q", word)
+	return fmt.Errorf("unknown message kind %.20q", kindName)
 }
 
 func (p *parser) parseCause(msg *Message) error {
@@ -143,8 +143,8 @@
 // parseMetaField parses the value of one field of the "meta" object, which must be a string or a number. It
 // skips the value if the protocol does not define the field.
 func (p *parser) parseMetaField(msg *Message, name string) (err error) {
-	field, known := fieldByName(name)
-	if !known {
+	field, isKnown := fieldByName(name)
+	if !isKnown {
 		return p.skipValue(0)
 	}
 	if msg.has[field] {
--- a/internal/platform/protocol/encode.go
+++ b/internal/platform/protocol/encode.go
@@ -9,15 +9,15 @@
 	buffer = append(buffer, `","uid":"`...)
 	buffer = append(buffer, m.UID...)
 	buffer = append(buffer, `","meta":{`...)
-	first := true
+	isFirstField := true
 	for f, name := range fieldNames {
 		if !m.has[f] {
 			continue
 		}
-		if !first {
+		if !isFirstField {
 			buffer = append(buffer, ',')
 		}
-		first = false
+		isFirstField = false
 		buffer = append(buffer, '"')
 		buffer = append(buffer, name...)
 		buffer = append(buffer, `":`...)
--- a/internal/platform/protocol/json.go
+++ b/internal/platform/protocol/json.go
@@ -93,24 +93,24 @@
 		p.position++
 		return value, nil
 	}
-	decoded := append([]byte(nil), p.line[start:p.position]...)
+	decodedText := append([]byte(nil), p.line[start:p.position]...)
 	for p.position < len(p.line) {
 		c := p.line[p.position]
 		switch {
 		case c == '"':
 			p.position++
-			return string(decoded), nil
+			return string(decodedText), nil
 		case c < 0x20:
 			return "", p.expectedError("a character other than a control character")
 		case c != '\\':
-			decoded = append(decoded, c)
+			decodedText = append(decodedText, c)
 			p.position++
 		default:
 			r, err := p.parseEscape()
 			if err != nil {
 				return "", err
 			}
-			decoded = utf8.AppendRune(decoded, r)
+			decodedText = utf8.AppendRune(decodedText, r)
 		}
 	}
 	return "", p.expectedError("the closing quote of a string")
@@ -144,11 +144,11 @@
 		// this parser rejects it.
 		if p.peek() == '\\' && p.position+1 < len(p.line) && p.line[p.position+1] == 'u' {
 			p.position++
-			low, err := p.parseHexEscape()
+			lowSurrogate, err := p.parseHexEscape()
 			if err != nil {
 				return 0, err
 			}
-			if r = utf16.DecodeRune(r, low); r != utf8.RuneError {
+			if r = utf16.DecodeRune(r, lowSurrogate); r != utf8.RuneError {
 				return r, nil
 			}
 		}
--- a/internal/platform/protocol/message.go
+++ b/internal/platform/protocol/message.go
@@ -43,8 +43,9 @@
 	return "kind " + strconv.Itoa(int(k))
 }
 
-// Cause states in a Stop why the Stop was sent, and in a Checked the result of the health check. Nodes and
-// clients may send values for which there is no constant.
+// Cause is the number in a message under the key "reason". In a Stop, it states why the Stop was sent. In a
+// Checked, it states the result of the health check. Nodes and clients may send values for which there is no
+// constant.
 type Cause int
 
 // The constants of type Cause are the causes of a Stop that the scheduler distinguishes.
@@ -70,7 +71,7 @@
 	CauseDeadlineExceeded Cause = 102
 )
 
-// ID identifies a task in the messages between a client or node and the scheduler.
+// ID identifies a task in the messages that the scheduler exchanges with clients and nodes.
 type ID uint64
 
 // idDigits is the number of hexadecimal digits of an encoded ID.
@@ -117,7 +118,7 @@
 // String returns the name of the field in encoded messages.
 func (f Field) String() string { return fieldNames[f] }
 
-func fieldByName(name string) (field Field, known bool) {
+func fieldByName(name string) (field Field, isKnown bool) {
 	for i, fieldName := range fieldNames {
 		if fieldName == name {
 			return Field(i), true
--- a/internal/platform/protocol/message_test.go
+++ b/internal/platform/protocol/message_test.go
@@ -13,15 +13,15 @@
 // TestMessagesRoundTrip checks the values of a parsed message. It also checks that the message does not
 // change when it is encoded and parsed again.
 func TestMessagesRoundTrip(t *testing.T) {
-	var msg, reparsed Message
+	var msg, reparsedMsg Message
 	if err := Parse([]byte(launchLine), &msg); err != nil {
 		t.Fatal(err)
 	}
 	if msg.Kind != Launch || msg.ID != 0x9b1f03aa5c7e2d41 || msg.HasCause {
-		t.Fatalf("got message %+v, want a launch message with the ID of the parsed line and no cause", msg)
+		t.Fatalf("Parse returned the message %+v, want a launch message with the ID in the line and without a cause", msg)
 	}
 	if msg.Get(TimeLeft) != "1500" || msg.Get(Class) != "batch" || msg.Has(RetryAfter) {
-		t.Fatalf("got message %+v, want TimeLeft 1500, class batch and no RetryAfter", msg)
+		t.Fatalf("Parse returned the message %+v, want the field TimeLeft 1500, the task class batch and no field RetryAfter", msg)
 	}
 	if want := launchLine[strings.Index(launchLine, `"9d`) : len(launchLine)-1]; msg.Body != want {
 		t.Fatalf("the body of the parsed message is %s, want exactly the body in the line: %s", msg.Body, want)
@@ -29,8 +29,8 @@
 	msg.Set(Extras, "a\"b\\c\x01")
 	msg.Cause, msg.HasCause = 34, true
 	line := msg.Append(nil)
-	if err := Parse(line[:len(line)-1], &reparsed); err != nil || reparsed != msg {
-		t.Fatalf("the message differs after encoding and parsing: error %v\nbefore: %+v\nafter:  %+v", err, msg, reparsed)
+	if err := Parse(line[:len(line)-1], &reparsedMsg); err != nil || reparsedMsg != msg {
+		t.Fatalf("the message differs after encoding and parsing: error %v\nbefore: %+v\nafter:  %+v", err, msg, reparsedMsg)
 	}
 	if !json.Valid(line) {
 		t.Fatalf("encoded message is not valid JSON: %s", line)
@@ -97,13 +97,13 @@
 	f.Add([]byte(`{"kind":"stop","uid":"9b1f03aa5c7e2d41","meta":{"load":"x0:1;x1:2"},"reason":-1}`))
 	f.Add([]byte(`{"kind":"check","uid":"0000000000000001","z":[[[{}]]]}`))
 	f.Fuzz(func(t *testing.T, line []byte) {
-		var msg, reparsed Message
+		var msg, reparsedMsg Message
 		var memoryBefore, memoryAfter runtime.MemStats
 		runtime.ReadMemStats(&memoryBefore)
 		err := Parse(line, &msg)
 		runtime.ReadMemStats(&memoryAfter)
-		if allocated := memoryAfter.TotalAlloc - memoryBefore.TotalAlloc; allocated > uint64(16*len(line)+64<<10) {
-			t.Fatalf("Parse allocated %d bytes for a line of %d bytes, want at most 64 KiB plus 16 times the length of the line", allocated, len(line))
+		if allocatedBytes := memoryAfter.TotalAlloc - memoryBefore.TotalAlloc; allocatedBytes > uint64(16*len(line)+64<<10) {
+			t.Fatalf("Parse allocated %d bytes for a line of %d bytes, want at most 64 KiB plus 16 times the length of the line", allocatedBytes, len(line))
 		}
 		if err != nil {
 			return
@@ -111,9 +111,9 @@
 		if !json.Valid(line) {
 			t.Fatalf("Parse accepted a line that is not valid JSON: %q", line)
 		}
-		encoded := msg.Append(nil)
-		if err := Parse(encoded[:len(encoded)-1], &reparsed); (err != nil || reparsed != msg) && len(encoded) < MaxLineBytes {
-			t.Fatalf("the parsed message was changed or rejected (error %v) when it was encoded and parsed again; encoded message: %s", err, encoded)
+		encodedMsg := msg.Append(nil)
+		if err := Parse(encodedMsg[:len(encodedMsg)-1], &reparsedMsg); (err != nil || reparsedMsg != msg) && len(encodedMsg) < MaxLineBytes {
+			t.Fatalf("the parsed message was changed or rejected (error %v) when it was encoded and parsed again; encoded message: %s", err, encodedMsg)
 		}
 	})
 }
--- a/internal/platform/server/attempt_sender.go
+++ b/internal/platform/server/attempt_sender.go
@@ -11,7 +11,7 @@
 	pendingAttempts []*dispatch.Attempt
 }
 
-// schedule queues an attempt, which sendPending sends at the end of the current iteration of the event loop.
+// schedule queues an attempt. At the end of the current iteration of the event loop, sendPending sends it.
 func (sender *attemptSender) schedule(attempt *dispatch.Attempt) {
 	sender.pendingAttempts = append(sender.pendingAttempts, attempt)
 	if len(sender.pendingAttempts) == 1 {
--- a/internal/platform/server/client_conn.go
+++ b/internal/platform/server/client_conn.go
@@ -95,8 +95,8 @@
 // returns the number of bytes consumed.
 func (c *clientConn) Data(conn *eventloop.Conn, data []byte) int {
 	s := c.server
-	consumed, err := s.reader.readLines(conn, data, c.handleLine)
-	c.incompleteSince = nextIncompleteSince(c.incompleteSince, s.loop.Now(), consumed, len(data))
+	consumedBytes, err := s.reader.readLines(conn, data, c.handleLine)
+	c.incompleteSince = nextIncompleteSince(c.incompleteSince, s.loop.Now(), consumedBytes, len(data))
 	s.applyReadyEffects()
 	if err != nil && !conn.Closed() {
 		// A line that cannot be parsed cannot be answered, and the lines after it may be corrupt as well.
@@ -105,7 +105,7 @@
 		c.closeGracefully()
 		return len(data)
 	}
-	return consumed
+	return consumedBytes
 }
 
 // handleLine parses one line from the client and passes the message to the dispatch core. If the line is not
--- a/internal/platform/server/client_conn_test.go
+++ b/internal/platform/server/client_conn_test.go
@@ -67,8 +67,8 @@
 func (client *testClient) flood(maxBytes int) {
 	zeroBytes := make([]byte, 32<<10)
 	for sentBytes := 0; sentBytes < maxBytes; {
-		written, err := client.Write(zeroBytes)
-		sentBytes += written
+		writtenBytes, err := client.Write(zeroBytes)
+		sentBytes += writtenBytes
 		if err != nil {
 			return
 		}
@@ -108,8 +108,8 @@
 	healthChecks := []byte(strings.Repeat(`{"kind":"check","uid":"0000000000000001","meta":{},"reason":0}`+"\n", 1000))
 	var sentBytes int64
 	for sentBytes < 1<<30 {
-		written, err := client.Write(healthChecks)
-		if sentBytes += int64(written); err != nil {
+		writtenBytes, err := client.Write(healthChecks)
+		if sentBytes += int64(writtenBytes); err != nil {
 			break
 		}
 	}
@@ -224,7 +224,7 @@
 	idleClient.expectMessage(`"checked"`)
 	adoptingClient.send(adoptMessage(2, 1))
 	nodeConn := waitFor(t, "the node to accept task 1", taskConns)
-	server.waitUntil("three client connections and two running tasks", func() bool { return len(server.clients.byID) == 3 && server.core.RunningTasks() == 2 })
+	server.waitUntil("the server to have three client connections and two running tasks", func() bool { return len(server.clients.byID) == 3 && server.core.RunningTasks() == 2 })
 	closeIdleConns := func() {
 		server.runOnLoop(func() {
 			server.backdateClients()
@@ -235,7 +235,7 @@
 	idleClient.expectClosed() // This connection has led to no running task, and two other client connections remain.
 	idleClient.close()
 	clientWithPlacedTask.close()
-	server.waitUntil("only one client connection to remain", func() bool { return len(server.clients.byID) == 1 })
+	server.waitUntil("the server to have only one client connection left", func() bool { return len(server.clients.byID) == 1 })
 	closeIdleConns()
 	sendTo(t, nodeConn, stopMessage(1, 16))
 	adoptingClient.expectMessage(`"stop"`, "0000000000000001")
@@ -244,7 +244,7 @@
 	nextClientConn.send(healthCheckMessage)
 	nextClientConn.expectMessage(`"checked"`)
 	adoptingClient.close()
-	server.waitUntil("only one client connection to remain", func() bool { return len(server.clients.byID) == 1 })
+	server.waitUntil("the server to have only one client connection left", func() bool { return len(server.clients.byID) == 1 })
 	closeIdleConns()
 	sendTo(t, nodeConn, stopMessage(2, 16))
 	nextClientConn.expectMessage(`"stop"`, "0000000000000002")
--- a/internal/platform/server/client_table.go
+++ b/internal/platform/server/client_table.go
@@ -29,7 +29,7 @@
 	return &clientTable{server: server, byID: map[dispatch.ConnID]*clientConn{}, maxConns: maxConns}
 }
 
-// accept adds a client connection that was just accepted to the table and returns the handler of its events.
+// accept adds a newly accepted client connection to the table and returns the handler of its events.
 func (table *clientTable) accept(conn *eventloop.Conn) eventloop.Handler {
 	s := table.server
 	table.lastID++
@@ -45,7 +45,7 @@
 	return client
 }
 
-// remove deletes a client connection that has ended from the table.
+// remove deletes a client connection from the table after the connection has ended.
 func (table *clientTable) remove(client *clientConn) { delete(table.byID, client.id) }
 
 // send writes a message to the client connection with the given ID. If that connection has ended, the message
--- a/internal/platform/server/config_test.go
+++ b/internal/platform/server/config_test.go
@@ -27,11 +27,11 @@
 		t.Run(field, func(t *testing.T) {
 			_, err := ParseConfig([]byte(strings.Replace(validConfig, replacement[0], replacement[1], 1)))
 			if err == nil || !strings.Contains(err.Error(), field) {
-				t.Errorf("got error %v, want one that names the field %s", err, field)
+				t.Errorf("ParseConfig returned the error %v, want an error that names the field %s", err, field)
 			}
 		})
 	}
 	if _, err := ReadConfig(os.DevNull); err == nil {
-		t.Error("an empty configuration file was accepted")
+		t.Error("ReadConfig accepted an empty configuration file")
 	}
 }
--- a/internal/platform/server/conn_state_test.go
+++ b/internal/platform/server/conn_state_test.go
@@ -20,15 +20,15 @@
 			t.Run(from.String()+" to "+to.String(), func(t *testing.T) {
 				server := &Server{}
 				state := setState(server, from, to)
-				wantState, wantIllegal := from, uint64(1)
+				wantState, wantIllegalCount := from, uint64(1)
 				if legalTransitions[[2]State{from, to}] {
-					wantState, wantIllegal = to, 0
+					wantState, wantIllegalCount = to, 0
 				}
 				if state != wantState {
 					t.Errorf("after the attempted transition, the connection is in state %s, want %s", state, wantState)
 				}
-				if illegal := server.stats.IllegalTransitions; illegal != wantIllegal {
-					t.Errorf("after the attempted transition, the server has counted %d illegal transitions, want %d", illegal, wantIllegal)
+				if illegalCount := server.stats.IllegalTransitions; illegalCount != wantIllegalCount {
+					t.Errorf("after the attempted transition, the server has counted %d illegal transitions, want %d", illegalCount, wantIllegalCount)
 				}
 			})
 		}
--- a/internal/platform/server/core_clock.go
+++ b/internal/platform/server/core_clock.go
@@ -23,7 +23,8 @@
 	return retry.Backoff{Min: placer.SecondsOf(minDelay), Max: placer.SecondsOf(maxDelay)}
 }
 
-// nextRetryDelay adds a failure to a backoff and returns the delay before the failed operation is repeated.
+// nextRetryDelay records a failure in a backoff and returns the delay before the failed operation is
+// repeated.
 func (s *Server) nextRetryDelay(backoff *retry.Backoff) time.Duration {
 	return clock.Duration(backoff.Next(s.rng.Float64()))
 }
@@ -68,17 +69,17 @@
 	return clock.Duration(timeout)
 }
 
-// maxIdle returns the time without a sent request after which the server closes a node connection, or 0 if it
-// never closes node connections as idle.
+// maxIdle returns how long the server sends no request on a node connection before it closes the connection
+// as idle. It returns 0 if the server never closes node connections as idle.
 func (c *Config) maxIdle() time.Duration {
 	return clock.Duration(c.Settings.IdleTimeout * idleTimeoutFraction)
 }
 
 // longestDeadline returns the longest deadline of all task classes.
 func (c *Config) longestDeadline() time.Duration {
-	var longest placer.Seconds
+	var longestDeadline placer.Seconds
 	for i := range c.Settings.Placer.Classes {
-		longest = max(longest, c.Settings.Placer.Classes[i].Deadline)
+		longestDeadline = max(longestDeadline, c.Settings.Placer.Classes[i].Deadline)
 	}
-	return clock.Duration(longest)
+	return clock.Duration(longestDeadline)
 }
--- a/internal/platform/server/discovery.go
+++ b/internal/platform/server/discovery.go
@@ -72,8 +72,8 @@
 	return client
 }
 
-// moveTo makes the watch continue with the discovery server at another address. The first event that it
-// requests there is the one that follows the last event received.
+// moveTo makes the watch continue with the discovery server at another address. The watch requests the events
+// that follow the last event received.
 func (w *discoveryWatch) moveTo(addr string) {
 	w.addr = addr
 	w.client = w.newClient()
--- a/internal/platform/server/discovery_fixture_test.go
+++ b/internal/platform/server/discovery_fixture_test.go
@@ -97,7 +97,7 @@
 type rawDiscoveryRequest struct {
 	net.Conn
 	lastEventID string
-	closed      chan struct{} // closed is a channel that is closed once the server under test has closed the connection.
+	connClosed  chan struct{} // connClosed is closed once the server under test has closed the connection.
 }
 
 func startRawDiscoveryServer(t *testing.T, listener net.Listener) *rawDiscoveryServer {
@@ -123,7 +123,7 @@
 
 // serve reads the header of a request, passes the request to the test and waits until the connection ends.
 func (discovery *rawDiscoveryServer) serve(conn net.Conn) {
-	request := &rawDiscoveryRequest{Conn: conn, closed: make(chan struct{})}
+	request := &rawDiscoveryRequest{Conn: conn, connClosed: make(chan struct{})}
 	reader := bufio.NewReader(conn)
 	for {
 		line, err := reader.ReadString('\n')
@@ -138,7 +138,7 @@
 		}
 	}
 	discovery.requests <- request
-	defer close(request.closed)
+	defer close(request.connClosed)
 	for {
 		if _, err := reader.Discard(1); err != nil {
 			return // The server under test has closed or reset the discovery connection.
@@ -153,7 +153,8 @@
 	server.runOnLoop(func() { server.Reload(newConfig) })
 }
 
-// configWithDiscovery returns the configuration of the server with another address of the discovery server.
+// configWithDiscovery returns a copy of the server's configuration with another address of the discovery
+// server.
 func (server *testServer) configWithDiscovery(addr string) *Config {
 	newConfig := *server.config
 	newConfig.Discovery = addr
--- a/internal/platform/server/discovery_test.go
+++ b/internal/platform/server/discovery_test.go
@@ -18,24 +18,24 @@
 	}
 	request := waitFor(t, "a request to the discovery server", server.discovery.requests)
 	if request.lastEventID != "1" {
-		t.Fatalf("the first request has Last-Event-ID %q, want 1", request.lastEventID)
+		t.Fatalf("the first request to the discovery server has Last-Event-ID %q, want 1", request.lastEventID)
 	}
 	event2 := sseEvent(2, nodeEntryJSON(1, "127.0.0.1:1", "in_service"))
 	event3 := sseEvent(3, nodeEntryJSON(1, "127.0.0.1:1", "terminating"))
 	event4 := sseEvent(4)
 	request.responseText <- event2 + event2 + event3[:len("id: 3\ndata: ")+20]
 	close(request.responseText) // The stream ends in the middle of event 3.
-	request = waitFor(t, "a request after the stream broke", server.discovery.requests)
+	request = waitFor(t, "a request to the discovery server after the stream broke", server.discovery.requests)
 	if request.lastEventID != "2" || lastEvent() != 2 {
 		t.Fatalf("the request after the stream broke has Last-Event-ID %q, want 2, which must also be the last event of the server", request.lastEventID)
 	}
 	request.responseText <- event4 // The stream skips event 3.
-	request = waitFor(t, "a request after the stream skipped an event", server.discovery.requests)
+	request = waitFor(t, "a request to the discovery server after the stream skipped an event", server.discovery.requests)
 	if request.lastEventID != "2" {
 		t.Fatalf("the request after the stream skipped an event has Last-Event-ID %q, want 2", request.lastEventID)
 	}
 	request.responseText <- event3 // The stream falls silent after this event.
-	request = waitFor(t, "a request after the stream fell silent", server.discovery.requests)
+	request = waitFor(t, "a request to the discovery server after the stream fell silent", server.discovery.requests)
 	if request.lastEventID != "3" {
 		t.Fatalf("the request after the stream fell silent has Last-Event-ID %q, want 3", request.lastEventID)
 	}
@@ -73,7 +73,7 @@
 	// The delays between the six requests are 50, 100, 200, 400 and 800 ms. Jitter shortens each delay by at
 	// most a quarter.
 	if elapsed := time.Since(firstRequestAt); elapsed < 1150*time.Millisecond {
-		t.Errorf("the server sent six requests to the discovery server within %v, want at least 1.15 s", elapsed)
+		t.Errorf("the server sent six requests to the discovery server within %v, want at least 1.15 s between the first and the last", elapsed)
 	}
 }
 
@@ -120,7 +120,7 @@
 			if elapsed := time.Since(silentSince); elapsed > 4*time.Second {
 				t.Errorf("the second request to the discovery server arrived %v after the first stream fell silent, want at most 4 s", elapsed)
 			}
-			waitFor(t, "the server to close the connection of the silent stream", firstRequest.closed)
+			waitFor(t, "the server to close the connection of the silent stream", firstRequest.connClosed)
 			sendTo(t, secondRequest, sseResponseHead+sseEvent(2)+sseEvent(3, nodeEntryJSON(2, "127.0.0.1:1", "in_service")))
 			server.waitForEvent(3)
 		})
@@ -144,7 +144,7 @@
 	if newRequest.lastEventID != "2" {
 		t.Errorf("the request at the new address has Last-Event-ID %q, want 2", newRequest.lastEventID)
 	}
-	waitFor(t, "the server to close the connection to the old address", oldRequest.closed)
+	waitFor(t, "the server to close the connection to the old address", oldRequest.connClosed)
 	sendTo(t, newRequest, sseResponseHead+sseEvent(3, nodeEntryJSON(8, "127.0.0.1:1", "in_service")))
 	server.waitForEvent(3)
 	server.runOnLoop(func() {
@@ -170,7 +170,7 @@
 	server.reloadWithDiscovery(unusedAddr)
 	watchesOpenedBefore := uint64(0)
 	server.runOnLoop(func() { watchesOpenedBefore = server.stats.WatchesOpened })
-	server.waitUntil("two requests to the unused address", func() bool { return server.stats.WatchesOpened >= watchesOpenedBefore+2 })
+	server.waitUntil("the server to request two discovery streams at the unused address", func() bool { return server.stats.WatchesOpened >= watchesOpenedBefore+2 })
 	secondDiscovery := startRawDiscoveryServer(t, listenOn(t, unusedAddr))
 	request := waitFor(t, "a request to the discovery server at the second address", secondDiscovery.requests)
 	if request.lastEventID != "2" {
@@ -190,7 +190,7 @@
 func TestPlacementWithoutDiscovery(t *testing.T) {
 	server := startServer(t, 256, startNode(t, acceptTask).addr)
 	server.discovery.Close()
-	server.waitUntil("three requests to the discovery server", func() bool { return server.stats.WatchesOpened >= 3 })
+	server.waitUntil("the server to request three discovery streams", func() bool { return server.stats.WatchesOpened >= 3 })
 	client := server.connect()
 	client.send(healthCheckMessage + launchMessage(1, "seats", `"x"`))
 	client.expectMessage(`"running"`)
--- a/internal/platform/server/fixture_test.go
+++ b/internal/platform/server/fixture_test.go
@@ -64,8 +64,8 @@
 func waitFor[T any](t *testing.T, description string, ch <-chan T) T {
 	t.Helper()
 	select {
-	case received := <-ch:
-		return received
+	case value := <-ch:
+		return value
 	case <-time.After(testTimeout):
 		t.Fatalf("timed out waiting for %s", description)
 		panic("not reached")
@@ -110,9 +110,9 @@
 // testServer is a Server with its own event loop.
 type testServer struct {
 	*Server
-	t         *testing.T
-	discovery *discoveryServer
-	stopped   chan struct{}
+	t           *testing.T
+	discovery   *discoveryServer
+	loopStopped chan struct{}
 }
 
 // startServer starts a server with the given limit on file descriptors. The configuration of the server lists
@@ -151,19 +151,19 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	server := &testServer{t: t, stopped: make(chan struct{})}
+	server := &testServer{t: t, loopStopped: make(chan struct{})}
 	if server.Server, err = New(loop, config, policy, zerolog.Nop(), loop.Stop); err != nil {
 		t.Fatal(err)
 	}
 	go func() {
-		defer close(server.stopped)
+		defer close(server.loopStopped)
 		if err := loop.Run(); err != nil {
 			t.Errorf("the event loop failed: %v", err)
 		}
 	}()
 	t.Cleanup(func() {
 		loop.Stop()
-		waitFor(t, "the event loop to end", server.stopped)
+		waitFor(t, "the event loop to end", server.loopStopped)
 		if illegalTransitions := server.stats.IllegalTransitions; illegalTransitions != 0 {
 			t.Errorf("the server counted %d illegal transitions of connection states, want none", illegalTransitions)
 		}
--- a/internal/platform/server/lines.go
+++ b/internal/platform/server/lines.go
@@ -39,31 +39,31 @@
 // loop. It also stops if handle returns an error, and returns this error. For a line that is too long, it
 // returns protocol.ErrTooLong. The first result is the number of bytes consumed.
 func (reader *lineReader) readLines(conn *eventloop.Conn, data []byte, handle lineHandler) (int, error) {
-	consumed := 0
-	for handled := 0; handled < maxLinesPerIteration; {
-		end := bytes.IndexByte(data[consumed:], '\n')
+	consumedBytes := 0
+	for handledLines := 0; handledLines < maxLinesPerIteration; {
+		end := bytes.IndexByte(data[consumedBytes:], '\n')
 		if end < 0 {
-			if len(data)-consumed >= protocol.MaxLineBytes {
-				return consumed, protocol.ErrTooLong
+			if len(data)-consumedBytes >= protocol.MaxLineBytes {
+				return consumedBytes, protocol.ErrTooLong
 			}
-			return consumed, nil
+			return consumedBytes, nil
 		}
-		cost, err := handle(data[consumed : consumed+end])
+		cost, err := handle(data[consumedBytes : consumedBytes+end])
 		if err != nil {
-			return consumed, err
+			return consumedBytes, err
 		}
-		consumed += end + 1
+		consumedBytes += end + 1
 		if conn.Closed() {
-			return consumed, nil
+			return consumedBytes, nil
 		}
 		if cost == countsTowardsLimit {
-			handled++
+			handledLines++
 		}
 	}
-	if consumed < len(data) {
+	if consumedBytes < len(data) {
 		reader.deferReading(conn)
 	}
-	return consumed, nil
+	return consumedBytes, nil
 }
 
 // deferReading pauses reading from a connection until the next iteration of the event loop.
@@ -86,13 +86,13 @@
 
 // nextIncompleteSince returns when the incomplete message at the end of the input of a connection began to
 // arrive, or zero if the input ends with a complete message. previousSince is the previous result of this
-// function for the same connection. available is the number of bytes in the input, and consumed is the number
-// of these bytes that were handled as complete lines.
-func nextIncompleteSince(previousSince, now clock.Instant, consumed, available int) clock.Instant {
+// function for the same connection. availableBytes is the number of bytes in the input, and consumedBytes is
+// the number of these bytes that were handled as complete lines.
+func nextIncompleteSince(previousSince, now clock.Instant, consumedBytes, availableBytes int) clock.Instant {
 	switch {
-	case consumed == available:
+	case consumedBytes == availableBytes:
 		return 0
-	case consumed > 0 || previousSince.IsZero():
+	case consumedBytes > 0 || previousSince.IsZero():
 		return now
 	}
 	return previousSince
--- a/internal/platform/server/logging_test.go
+++ b/internal/platform/server/logging_test.go
@@ -51,11 +51,11 @@
 	healthChecks := strings.Repeat(`{"kind":"check","uid":"0000000000000001","meta":{},"reason":0}`+"\n", 1000)
 	server.runOnLoop(func() { server.log = server.log.Level(zerolog.WarnLevel) }) // At this level, messages are not traced.
 	for sentBytes := 0; sentBytes < 1<<30; {
-		written, err := client.Write([]byte(healthChecks))
+		writtenBytes, err := client.Write([]byte(healthChecks))
 		if err != nil {
 			break
 		}
-		sentBytes += written
+		sentBytes += writtenBytes
 	}
 	server.expectLogLine(log, `"level":"warn"`, `"message":"client connection closed: output not read"`)
 }
--- a/internal/platform/server/node_conn.go
+++ b/internal/platform/server/node_conn.go
@@ -108,9 +108,9 @@
 	now := s.loop.Now()
 	nc.keepAlive.LastReceived = now
 	nc.link.reachability.Received(now)
-	consumed, err := s.reader.readLines(conn, data, nc.handleLine)
+	consumedBytes, err := s.reader.readLines(conn, data, nc.handleLine)
 	nc.removeAnsweredAttempts()
-	nc.keepAlive.IncompleteSince = nextIncompleteSince(nc.keepAlive.IncompleteSince, now, consumed, len(data))
+	nc.keepAlive.IncompleteSince = nextIncompleteSince(nc.keepAlive.IncompleteSince, now, consumedBytes, len(data))
 	s.applyReadyEffects()
 	if err != nil && !conn.Closed() {
 		s.stats.InvalidFromNodes.add(err)
@@ -118,7 +118,7 @@
 		conn.Close()
 		return len(data)
 	}
-	return consumed
+	return consumedBytes
 }
 
 // handleLine parses one line from the node. It records the answer to a health check, and passes any other
@@ -169,8 +169,8 @@
 	wasDialing := nc.state == nodeDialing
 	nc.setState(nodeClosed)
 	if wasDialing {
-		if link.dialing == nc {
-			link.dialing = nil
+		if link.dialingConn == nc {
+			link.dialingConn = nil
 		}
 		link.dialFailed(err)
 		return
@@ -183,12 +183,12 @@
 // which has ended. It is unknown whether the node received these attempts.
 func (nc *nodeConn) reportLostAttempts() {
 	s := nc.link.server
-	unanswered := make([]*dispatch.Attempt, 0, len(nc.attempts))
+	unansweredAttempts := make([]*dispatch.Attempt, 0, len(nc.attempts))
 	for attempt := range nc.attempts {
-		unanswered = append(unanswered, attempt)
+		unansweredAttempts = append(unansweredAttempts, attempt)
 	}
 	nc.attempts = nil
-	for _, attempt := range unanswered {
+	for _, attempt := range unansweredAttempts {
 		s.core.ConnectionLost(s.coreNow(), attempt)
 	}
 	s.applyReadyEffects()
--- a/internal/platform/server/node_fixture_test.go
+++ b/internal/platform/server/node_fixture_test.go
@@ -21,10 +21,10 @@
 
 // testNode is a fake node to which the server under test connects.
 type testNode struct {
-	t        *testing.T
-	addr     string
-	listener net.Listener
-	received chan string // received is a channel for a copy of every line that the node receives from the server.
+	t             *testing.T
+	addr          string
+	listener      net.Listener
+	receivedLines chan string // receivedLines contains a copy of every line that the node has received from the server.
 }
 
 // startNode starts a node that passes each line from the server to a handler.
@@ -34,7 +34,7 @@
 	node := &testNode{t, listener.Addr().String(), listener, make(chan string, 1000)}
 	go acceptConns(listener, func(conn net.Conn) {
 		readLinesOf(conn, func(line string) error {
-			node.received <- line
+			node.receivedLines <- line
 			return handle(conn, line)
 		})
 	})
@@ -90,8 +90,8 @@
 	return respond(conn, `{"kind":"running","uid":%q,"body":%s}`+"\n", taskUID(line), taskDescription)
 }
 
-// acceptTaskAndSendConn returns a nodeHandler that accepts every requested task and then sends the connection
-// on which the request arrived to a channel.
+// acceptTaskAndSendConn returns a nodeHandler that accepts every requested task. After it has accepted a
+// task, it sends the connection on which the request arrived to the channel conns.
 func acceptTaskAndSendConn(conns chan<- net.Conn) nodeHandler {
 	return func(conn net.Conn, line string) error {
 		if err := acceptTask(conn, line); err != nil {
@@ -115,7 +115,7 @@
 	const lastTaskID = 0xff
 	client.launch(lastTaskID, "query")
 	for {
-		line := waitFor(node.t, "the launch message for the last task at the node", node.received)
+		line := waitFor(node.t, "the launch message for the last task at the node", node.receivedLines)
 		if taskUID(line) == fmt.Sprintf("%016x", lastTaskID) {
 			return
 		}
--- a/internal/platform/server/node_link.go
+++ b/internal/platform/server/node_link.go
@@ -29,7 +29,7 @@
 	id              placer.NodeID
 	addr            string
 	conns           []*nodeConn         // conns contains the established connections to the node.
-	dialing         *nodeConn           // dialing is the connection to the node that is being dialed, or nil if there is none.
+	dialingConn     *nodeConn           // dialingConn is the connection to the node that is being dialed, or nil if there is none.
 	queuedAttempts  []*dispatch.Attempt // queuedAttempts contains the attempts that wait for the dial to succeed.
 	pendingMessages []byte              // pendingMessages contains encoded messages that wait for a connection to the node.
 	backoff         retry.Backoff
@@ -48,8 +48,8 @@
 	for _, nc := range slices.Clone(link.conns) {
 		nc.conn.Close()
 	}
-	if link.dialing != nil {
-		link.dialing.conn.Close()
+	if link.dialingConn != nil {
+		link.dialingConn.conn.Close()
 	}
 }
 
@@ -85,7 +85,7 @@
 	nc.write(&effect.Message)
 	if connSuspected {
 		// The attempt timed out because the node is slow or because the connection is broken. A health check
-		// distinguishes these cases. Until it is answered, no attempt is sent on the connection.
+		// distinguishes these cases. Until the node answers it, no attempt is sent on the connection.
 		link.server.stats.NodeConnsSuspected++
 		nc.sendHealthCheck()
 	}
@@ -104,13 +104,13 @@
 // usableConn returns the connection on which attempts are sent: the usable connection to the node on which
 // data arrived most recently. It returns nil if no connection is usable.
 func (link *nodeLink) usableConn() *nodeConn {
-	var mostRecent *nodeConn
+	var mostRecentConn *nodeConn
 	for _, nc := range link.conns {
-		if nc.keepAlive.Usable() && (mostRecent == nil || nc.keepAlive.LastReceived > mostRecent.keepAlive.LastReceived) {
-			mostRecent = nc
+		if nc.keepAlive.Usable() && (mostRecentConn == nil || nc.keepAlive.LastReceived > mostRecentConn.keepAlive.LastReceived) {
+			mostRecentConn = nc
 		}
 	}
-	return mostRecent
+	return mostRecentConn
 }
 
 // anyConn returns a usable connection to the node. If no connection is usable, it returns any established
@@ -128,7 +128,7 @@
 // dial starts to open a connection to the node, unless a dial is already in progress. If the connection
 // cannot be opened, dialFailed is called in a later iteration of the event loop.
 func (link *nodeLink) dial() {
-	if link.dialing != nil {
+	if link.dialingConn != nil {
 		return
 	}
 	s := link.server
@@ -145,7 +145,7 @@
 	}
 	conn.MaxInputBytes = 2 * protocol.MaxLineBytes
 	nc.conn = conn
-	link.dialing = nc
+	link.dialingConn = nc
 	s.nodes.takeSlot()
 }
 
@@ -154,8 +154,8 @@
 func (link *nodeLink) connEstablished(nc *nodeConn) {
 	s := link.server
 	link.reachability.Received(s.loop.Now())
-	if link.dialing == nc {
-		link.dialing = nil
+	if link.dialingConn == nc {
+		link.dialingConn = nil
 	}
 	link.backoff.Reset()
 	link.conns = append(link.conns, nc)
@@ -247,7 +247,7 @@
 	return (link.hasTasks || len(link.pendingMessages) > 0) && len(link.conns) == 0
 }
 
-// checkReachability tells the dispatch core if the node is unreachable, and returns whether the node may be
+// checkReachability notifies the dispatch core if the node is unreachable. It returns whether the node may be
 // dialed. A terminated node must not be dialed: another node may use its address, and messages from that node
 // would be attributed to the terminated node.
 func (link *nodeLink) checkReachability(now clock.Instant, node *dispatch.Node) bool {
@@ -274,5 +274,5 @@
 // isDialDue reports whether the node must be dialed now. This is the case if it needs a connection, none is
 // established or being dialed, and the delay after the last failed dial has elapsed.
 func (link *nodeLink) isDialDue(now clock.Instant) bool {
-	return link.needsConn && len(link.conns) == 0 && link.dialing == nil && now >= link.retryAt
+	return link.needsConn && len(link.conns) == 0 && link.dialingConn == nil && now >= link.retryAt
 }
--- a/internal/platform/server/node_link_test.go
+++ b/internal/platform/server/node_link_test.go
@@ -90,7 +90,7 @@
 func TestUnresponsiveNodeReturns(t *testing.T) {
 	t.Parallel()
 	node, server, client := startServerWithUnresponsiveTimeout(t, 500*time.Millisecond)
-	waitFor(t, "the launch message at the node", node.received)
+	waitFor(t, "the launch message at the node", node.receivedLines)
 	closeNow(t, node.listener)
 	_, stopListening := listenUnresponsive(t, node.port())
 	client.expectMessage(`"stop"`, `"reason":41`)
@@ -203,17 +203,17 @@
 		turnsSince[i] = make([]int, nodeCount)
 	}
 	for nodesDone := 0; nodesDone < nodeCount; {
-		acceptor := waitFor(t, "the server to connect to a node", acceptedBy)
-		if turnCounts[acceptor]++; turnCounts[acceptor] == turnsPerNode {
+		acceptingNode := waitFor(t, "the server to connect to a node", acceptedBy)
+		if turnCounts[acceptingNode]++; turnCounts[acceptingNode] == turnsPerNode {
 			nodesDone++
 		}
-		turnsSince[acceptor] = make([]int, nodeCount)
-		for other := range turnsSince {
-			if other == acceptor {
+		turnsSince[acceptingNode] = make([]int, nodeCount)
+		for otherNode := range turnsSince {
+			if otherNode == acceptingNode {
 				continue
 			}
-			if turnsSince[other][acceptor]++; turnsSince[other][acceptor] > 2 && turnCounts[other] < turnsPerNode {
-				t.Fatalf("node %d had %d turns since the last turn of node %d, want at most 2", acceptor, turnsSince[other][acceptor], other)
+			if turnsSince[otherNode][acceptingNode]++; turnsSince[otherNode][acceptingNode] > 2 && turnCounts[otherNode] < turnsPerNode {
+				t.Fatalf("node %d had %d turns since the last turn of node %d, want at most 2", acceptingNode, turnsSince[otherNode][acceptingNode], otherNode)
 			}
 		}
 	}
@@ -254,7 +254,7 @@
 	}
 	server.waitUntil("the server to end all dials", func() bool {
 		for _, link := range server.nodes.byID {
-			if len(link.queuedAttempts) > 0 || link.dialing != nil {
+			if len(link.queuedAttempts) > 0 || link.dialingConn != nil {
 				return false
 			}
 		}
@@ -336,7 +336,7 @@
 	client.launch(2, "query")
 	client.expectMessage(`"running"`, "0000000000000002")
 	client.expectMessage(`"stop"`, "0000000000000001", `"reason":41`)
-	server.waitUntil("only the link to the new node to remain", func() bool { return len(server.nodes.byID) == 1 })
+	server.waitUntil("the server to remove the link to the terminated node", func() bool { return len(server.nodes.byID) == 1 })
 	server.runOnLoop(func() {
 		if server.core.RunningTasks() != 1 || server.nodes.openConns != 1 {
 			t.Errorf("the server counts %d running tasks and %d open node connections, want 1 of each", server.core.RunningTasks(), server.nodes.openConns)
--- a/internal/platform/server/node_links.go
+++ b/internal/platform/server/node_links.go
@@ -54,8 +54,8 @@
 	linksToDial  []*nodeLink                // linksToDial is a buffer that reconnect reuses to avoid allocations.
 }
 
-// newNodeLinks returns the node links of a server, which are empty at first. maxIdle is the time without a
-// sent request after which a node connection is closed; 0 means that no connection is closed as idle.
+// newNodeLinks returns a nodeLinks that contains no links yet. A node connection on which no request was sent
+// for the time maxIdle is closed as idle. If maxIdle is 0, no node connection is closed as idle.
 func newNodeLinks(server *Server, maxConns int, maxIdle time.Duration) *nodeLinks {
 	links := &nodeLinks{
 		server:       server,
--- a/internal/platform/server/server_test.go
+++ b/internal/platform/server/server_test.go
@@ -29,13 +29,13 @@
 		client.send(piece)
 	}
 	client.expectMessage(`"running"`, `"0000000000000007"`, `"body":`+taskDescription)
-	received := waitFor(t, "the launch message at the node", node.received)
-	if !containsAll(received, `"body":`+body, `"class":"seats"`, `"key":"0000000000000007"`, `"left":"`, `"idem":"e45e5817dae4"`) {
-		t.Fatalf("the node received %s, want a launch message with the fields of the client's launch message", received)
+	receivedLaunch := waitFor(t, "the launch message at the node", node.receivedLines)
+	if !containsAll(receivedLaunch, `"body":`+body, `"class":"seats"`, `"key":"0000000000000007"`, `"left":"`, `"idem":"e45e5817dae4"`) {
+		t.Fatalf("the node received %s, want a launch message with the fields of the client's launch message", receivedLaunch)
 	}
 	client.send(`{"kind":"stop","uid":"0000000000000007","meta":{},"reason":31}` + "\n")
-	if received := waitFor(t, "the stop message at the node", node.received); !containsAll(received, `"stop"`, `"reason":31`) {
-		t.Fatalf("the node received %s, want the client's stop message with reason 31", received)
+	if receivedStop := waitFor(t, "the stop message at the node", node.receivedLines); !containsAll(receivedStop, `"stop"`, `"reason":31`) {
+		t.Fatalf("the node received %s, want the client's stop message with reason 31", receivedStop)
 	}
 }
 
@@ -109,7 +109,7 @@
 	server := startServer(t, 256, node.addr)
 	client := server.connect()
 	client.runTask(1, "query")
-	waitFor(t, "the launch message for task 1 at the node", node.received)
+	waitFor(t, "the launch message for task 1 at the node", node.receivedLines)
 	return server, node, client
 }
 
@@ -166,7 +166,7 @@
 		// function has returned.
 		server.attemptSender.sendPending()
 		for _, link := range server.nodes.byID {
-			if link.dialing != nil {
+			if link.dialingConn != nil {
 				close(dialStarted)
 				<-clientClosed
 				return
--- a/internal/platform/server/settings_test.go
+++ b/internal/platform/server/settings_test.go
@@ -142,9 +142,9 @@
 
 func encodeJSONString(t *testing.T, text string) string {
 	t.Helper()
-	quoted, err := json.Marshal(text)
+	quotedText, err := json.Marshal(text)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return string(quoted)
+	return string(quotedText)
 }
--- a/internal/platform/server/shutdown_test.go
+++ b/internal/platform/server/shutdown_test.go
@@ -52,7 +52,7 @@
 	uid := taskUID(earlyLaunch.line)
 	sendTo(t, earlyLaunch.conn, fmt.Sprintf(`{"kind":"stop","uid":%q,"reason":16}`+"\n", uid))
 	earlyClient.expectMessage(`"stop"`, uid, `"reason":16`)
-	waitFor(t, "the server to stop", server.stopped)
+	waitFor(t, "the server to stop", server.loopStopped)
 }
 
 // TestStopServesAcceptBacklog checks client connections that the kernel has accepted, but the server has not,
@@ -111,5 +111,5 @@
 	client.expectMessage(`"stop"`, "0000000000000001")
 	client.expectClosed()
 	client.close()
-	waitFor(t, "the server to stop", server.stopped)
+	waitFor(t, "the server to stop", server.loopStopped)
 }
--- a/internal/platform/server/stats.go
+++ b/internal/platform/server/stats.go
@@ -59,10 +59,10 @@
 }
 
 func (counters *InvalidInput) counterForError(err error) *uint64 {
-	var invalid *dispatch.InvalidMessageError
+	var invalidMessage *dispatch.InvalidMessageError
 	switch {
-	case errors.As(err, &invalid):
-		return counters.counterForReason(invalid.Reason)
+	case errors.As(err, &invalidMessage):
+		return counters.counterForReason(invalidMessage.Reason)
 	case errors.Is(err, protocol.ErrTooLong):
 		return &counters.LineTooLong
 	}
