--- a/internal/platform/server/server.go
+++ b/internal/platform/server/server.go
@@ -2,8 +2,8 @@
 
 // Package server runs one scheduler on the shared platform. The shared platform is an environment that starts
 // and stops schedulers. Its clients and nodes use the protocol of package protocol instead of the Kubernetes
-// API. The server accepts the connections of clients, connects to nodes and watches the platform's discovery
-// server, all on one event loop.
+// API. The server accepts the connections of clients, connects to nodes and watches the discovery server of
+// the platform, all on one event loop.
 //
 // The package manages connections and transfers messages. It makes no placement decisions: it parses messages
 // and passes them to the dispatch core, which is a dispatch.Core from package dispatch, and carries out the
--- a/internal/platform/server/shutdown.go
+++ b/internal/platform/server/shutdown.go
@@ -15,10 +15,9 @@
 	// and send requests for at most 0.7 s after the stop signal.
 	acceptGrace  = 850 * time.Millisecond
 	pollInterval = 10 * time.Millisecond  // pollInterval is the time between two checks of whether the stop can proceed.
-	closeGrace   = 500 * time.Millisecond // closeGrace is how long the server waits at the end of a stop for clients to close connections.
-	// minCloseGrace is how long the server waits for clients to close connections if the timeout of the stop
-	// leaves less time than closeGrace. It is shorter than stopReserve, so the scheduler is not killed while
-	// it waits.
+	closeGrace   = 500 * time.Millisecond // closeGrace is the maximum time that the server waits for clients to close connections.
+	// minCloseGrace is the time that clients have to close their connections even if the timeout of the stop
+	// has passed. It is shorter than stopReserve, so the scheduler is not killed within this time.
 	minCloseGrace = 100 * time.Millisecond
 )
 
@@ -58,10 +57,10 @@
 	s.loop.After(acceptGrace, stop.finish)
 }
 
-// finish closes the listener. It closes the client connections once every placement request is answered. If
-// tasks still run or messages are incomplete, it first waits until the timeout of the stop at the latest.
-// While it waits, the server notifies clients of tasks that end. If no scheduler learned of the end of a
-// task, the client of the task would be notified late or never.
+// finish closes the listener. It closes the client connections once every placement request is answered.
+// While tasks run or input from clients remains to be handled, it also waits for them, but not beyond the
+// timeout of the stop. During this time, the server notifies clients of tasks that end. If no scheduler
+// learned of the end of a task, the client of the task would be notified late or never.
 func (stop *shutdown) finish() {
 	s := stop.server
 	if !s.listener.Closed() {
@@ -80,8 +79,8 @@
 	stop.awaitClientsClosed(max(now.Add(minCloseGrace), deadline))
 }
 
-// canNotifyClients reports whether a task is running and a client is connected. While this is the case, the
-// server may still learn of the end of a task and notify the client.
+// canNotifyClients reports whether a task is running and a client is connected. If so, the task may still end
+// and the server can notify the client.
 func (stop *shutdown) canNotifyClients() bool {
 	s := stop.server
 	return s.core.RunningTasks() > 0 && len(s.clients.byID) > 0
