--- a/internal/platform/protocol/json.go
+++ b/internal/platform/protocol/json.go
@@ -45,8 +45,8 @@
 	return nil
 }
 
-// parseObject parses an object. It calls parseValue for each key; parseValue must consume the value of that
-// key.
+// parseObject parses an object. It calls parseValue for each key of the object, and parseValue must consume
+// the value of this key.
 func (p *parser) parseObject(parseValue func(key string) error) error {
 	if err := p.expect('{'); err != nil {
 		return err
@@ -93,30 +93,30 @@
 		p.position++
 		return value, nil
 	}
-	decoded := append([]byte(nil), p.line[start:p.position]...)
+	decodedText := append([]byte(nil), p.line[start:p.position]...)
 	for p.position < len(p.line) {
 		c := p.line[p.position]
 		switch {
 		case c == '"':
 			p.position++
-			return string(decoded), nil
+			return string(decodedText), nil
 		case c < 0x20:
 			return "", p.expectedError("a character other than a control character")
 		case c != '\\':
-			decoded = append(decoded, c)
+			decodedText = append(decodedText, c)
 			p.position++
 		default:
 			r, err := p.parseEscape()
 			if err != nil {
 				return "", err
 			}
-			decoded = utf8.AppendRune(decoded, r)
+			decodedText = utf8.AppendRune(decodedText, r)
 		}
 	}
 	return "", p.expectedError("the closing quote of a string")
 }
 
-// isUnescaped reports whether a byte in a JSON string stands for itself, so that no decoding is needed.
+// isUnescaped reports whether a byte in a JSON string stands for itself and needs no decoding.
 func isUnescaped(c byte) bool { return c != '"' && c != '\\' && c >= 0x20 }
 
 // parseEscape parses the escape sequence at the current position and returns the character that it encodes.
@@ -144,11 +144,11 @@
 		// this parser rejects it.
 		if p.peek() == '\\' && p.position+1 < len(p.line) && p.line[p.position+1] == 'u' {
 			p.position++
-			low, err := p.parseHexEscape()
+			lowSurrogate, err := p.parseHexEscape()
 			if err != nil {
 				return 0, err
 			}
-			if r = utf16.DecodeRune(r, low); r != utf8.RuneError {
+			if r = utf16.DecodeRune(r, lowSurrogate); r != utf8.RuneError {
 				return r, nil
 			}
 		}
@@ -219,8 +219,8 @@
 	return string(p.line[start:p.position]), nil
 }
 
-// skipValue consumes a value of any type, whose nesting depth is depth. It returns an error if a value within
-// it is nested deeper than maxSkippedDepth.
+// skipValue consumes a value of any type. depth is the nesting depth of this value. If the value contains
+// another value that is nested deeper than maxSkippedDepth, skipValue returns an error.
 func (p *parser) skipValue(depth int) error {
 	if depth > maxSkippedDepth {
 		return fmt.Errorf("value at byte %d is nested deeper than %d levels", p.position, maxSkippedDepth)
@@ -244,7 +244,8 @@
 	return err
 }
 
-// skipArray consumes an array whose own nesting depth is depth. Its elements are one level deeper.
+// skipArray consumes an array. depth is the nesting depth of the array itself; its elements are one level
+// deeper.
 func (p *parser) skipArray(depth int) error {
 	p.position++ // This consumes the opening bracket.
 	p.skipSpace()
--- a/internal/platform/server/core_clock.go
+++ b/internal/platform/server/core_clock.go
@@ -14,7 +14,8 @@
 // Package server represents times as clock.Instant and time.Duration; the dispatch core and the settings use
 // floating-point seconds. All conversions between these formats are in this file.
 
-// defaultConnectTimeout is the maximum duration of a dial to a node if the settings contain no connect timeout.
+// defaultConnectTimeout is the maximum duration of a dial to a node if the settings contain no connect
+// timeout.
 const defaultConnectTimeout = 250 * time.Millisecond
 
 // newBackoff returns an exponential backoff whose delays lie between minDelay and maxDelay.
@@ -22,22 +23,23 @@
 	return retry.Backoff{Min: placer.SecondsOf(minDelay), Max: placer.SecondsOf(maxDelay)}
 }
 
-// nextRetryDelay adds a failure to a backoff and returns the delay before the failed operation is repeated.
+// nextRetryDelay records a failure in a backoff and returns the delay before the failed operation is
+// repeated.
 func (s *Server) nextRetryDelay(backoff *retry.Backoff) time.Duration {
 	return clock.Duration(backoff.Next(s.rng.Float64()))
 }
 
-// idleTimeoutFraction is the fraction of the idle timeout in the settings after which the server closes an
-// idle node connection. If the node closed the connection first, at the full timeout, an attempt in transit
-// at that moment would be lost.
+// idleTimeoutFraction determines when the server closes an idle node connection: after this fraction of the
+// idle timeout in the settings. Otherwise, the node would close the connection after the full idle timeout,
+// and an attempt in transit at that moment would be lost.
 const idleTimeoutFraction = 0.6
 
 // coreNow returns the time of the current iteration of the event loop, in the time format of the dispatch
 // core.
 func (s *Server) coreNow() placer.Seconds { return s.loop.Now().UnixSeconds() }
 
-// resetCoreTimer sets coreTimer to the time at which the next timer of the dispatch core is due. The core
-// reports infinity as this time if it has set no timer.
+// resetCoreTimer sets coreTimer to the time at which the next timer of the dispatch core is due. If the core
+// has set no timer, this time is infinity, and resetCoreTimer removes coreTimer.
 func (s *Server) resetCoreTimer() {
 	dueTime := s.core.NextTimer()
 	if s.coreTimer != nil && s.coreTimerDue == dueTime {
@@ -67,17 +69,17 @@
 	return clock.Duration(timeout)
 }
 
-// maxIdle returns the time without a sent request after which the server closes a node connection, or 0 if it
-// never closes node connections as idle.
+// maxIdle returns how long the server sends no request on a node connection before it closes the connection
+// as idle. It returns 0 if the server never closes node connections as idle.
 func (c *Config) maxIdle() time.Duration {
 	return clock.Duration(c.Settings.IdleTimeout * idleTimeoutFraction)
 }
 
 // longestDeadline returns the longest deadline of all task classes.
 func (c *Config) longestDeadline() time.Duration {
-	var longest placer.Seconds
+	var longestDeadline placer.Seconds
 	for i := range c.Settings.Placer.Classes {
-		longest = max(longest, c.Settings.Placer.Classes[i].Deadline)
+		longestDeadline = max(longestDeadline, c.Settings.Placer.Classes[i].Deadline)
 	}
-	return clock.Duration(longest)
+	return clock.Duration(longestDeadline)
 }
--- a/internal/platform/server/logging_test.go
+++ b/internal/platform/server/logging_test.go
@@ -11,8 +11,8 @@
 	"github.com/rs/zerolog"
 )
 
-// captureLog makes the server log at every level to a buffer and returns the buffer, which must only be read
-// on the event loop.
+// captureLog makes the server write its log, at every level, to a buffer and returns this buffer. The buffer
+// may be read only on the event loop.
 func (server *testServer) captureLog() *bytes.Buffer {
 	server.t.Helper()
 	var log bytes.Buffer
@@ -20,7 +20,7 @@
 	return &log
 }
 
-// expectLogLine waits until one line of the log contains all parts.
+// expectLogLine waits until one line of the log contains all of the given parts.
 func (server *testServer) expectLogLine(log *bytes.Buffer, parts ...string) {
 	server.t.Helper()
 	server.waitUntil("a log line with "+strings.Join(parts, " and "), func() bool {
@@ -33,8 +33,8 @@
 	})
 }
 
-// TestLogOfUnreadableMessage checks that a warning states why a client connection was closed if the client has
-// sent a line that cannot be read as a message.
+// TestLogOfUnreadableMessage checks that the server logs a warning with the reason when it closes a client
+// connection because of a line that is not a valid message.
 func TestLogOfUnreadableMessage(t *testing.T) {
 	server := startServer(t, 64)
 	log := server.captureLog()
@@ -42,8 +42,8 @@
 	server.expectLogLine(log, `"level":"warn"`, `"message":"client connection closed: message cannot be read"`)
 }
 
-// TestLogOfUnreadOutput checks that a warning states why a client connection was closed if the client does not
-// read the messages that the server sends.
+// TestLogOfUnreadOutput checks that the server logs a warning with the reason when it closes a client
+// connection because the client does not read the messages that the server sends.
 func TestLogOfUnreadOutput(t *testing.T) {
 	server := startServer(t, 64)
 	log := server.captureLog()
@@ -51,11 +51,11 @@
 	healthChecks := strings.Repeat(`{"kind":"check","uid":"0000000000000001","meta":{},"reason":0}`+"\n", 1000)
 	server.runOnLoop(func() { server.log = server.log.Level(zerolog.WarnLevel) }) // At this level, messages are not traced.
 	for sentBytes := 0; sentBytes < 1<<30; {
-		written, err := client.Write([]byte(healthChecks))
+		writtenBytes, err := client.Write([]byte(healthChecks))
 		if err != nil {
 			break
 		}
-		sentBytes += written
+		sentBytes += writtenBytes
 	}
 	server.expectLogLine(log, `"level":"warn"`, `"message":"client connection closed: output not read"`)
 }
--- a/internal/platform/server/node_link.go
+++ b/internal/platform/server/node_link.go
@@ -17,8 +17,8 @@
 	"heathshed/placer"
 )
 
-// maxPendingBytes limits the encoded messages that wait for a connection to one node. Once their size has
-// reached this limit, further messages to the node are discarded.
+// maxPendingBytes limits the total size of the encoded messages that wait for a connection to one node. Once
+// these messages have reached this size, further messages to the node are discarded.
 const maxPendingBytes = 64 << 10
 
 // nodeLink manages the connections to one node, and the attempts and messages that wait for a connection to
@@ -29,17 +29,17 @@
 	id              placer.NodeID
 	addr            string
 	conns           []*nodeConn         // conns contains the established connections to the node.
-	dialing         *nodeConn           // dialing is the connection to the node that is being dialed, or nil if there is none.
+	dialingConn     *nodeConn           // dialingConn is the connection to the node that is being dialed, or nil if there is none.
 	queuedAttempts  []*dispatch.Attempt // queuedAttempts contains the attempts that wait for the dial to succeed.
 	pendingMessages []byte              // pendingMessages contains encoded messages that wait for a connection to the node.
 	backoff         retry.Backoff
-	retryAt         clock.Instant // retryAt is the earliest time of the next dial after a failed one.
+	retryAt         clock.Instant // retryAt is the earliest time of the next dial after a failed dial.
 	disconnectedAt  clock.Instant // disconnectedAt is when a connection to the node last ended, or zero if none has ended.
 	reachability    connpool.Reachability
 	hasTasks        bool // hasTasks states whether the node ran tasks at the last call of maintain.
-	// needsConn states whether maintain has decided, at its last call, that the node must be dialed. A node
-	// must be dialed if it runs tasks or messages to it are pending, no connection to it exists, and dialing
-	// it is allowed.
+	// needsConn states whether the last call of maintain decided that the node must be dialed. A node must be
+	// dialed if it has no connection although running tasks or pending messages require one, and if the node
+	// may be dialed.
 	needsConn bool
 }
 
@@ -48,8 +48,8 @@
 	for _, nc := range slices.Clone(link.conns) {
 		nc.conn.Close()
 	}
-	if link.dialing != nil {
-		link.dialing.conn.Close()
+	if link.dialingConn != nil {
+		link.dialingConn.conn.Close()
 	}
 }
 
@@ -65,8 +65,8 @@
 }
 
 // sendMessage sends the message of an effect to the node. It uses the connection on which the attempt of the
-// effect was sent, or another established connection if that one has ended. If no connection to the node is
-// established, the message is sent once a dial succeeds.
+// effect was sent. If that connection has ended, it uses another established connection to the node. If none
+// is established, the message is sent once a dial succeeds.
 func (link *nodeLink) sendMessage(effect *dispatch.Effect) {
 	nc := link.connByID(effect.Attempt.NodeConn)
 	if nc != nil {
@@ -85,7 +85,7 @@
 	nc.write(&effect.Message)
 	if connSuspected {
 		// The attempt timed out because the node is slow or because the connection is broken. A health check
-		// distinguishes these cases. Until it is answered, no attempt is sent on the connection.
+		// distinguishes these cases. Until the node answers it, no attempt is sent on the connection.
 		link.server.stats.NodeConnsSuspected++
 		nc.sendHealthCheck()
 	}
@@ -104,13 +104,13 @@
 // usableConn returns the connection on which attempts are sent: the usable connection to the node on which
 // data arrived most recently. It returns nil if no connection is usable.
 func (link *nodeLink) usableConn() *nodeConn {
-	var mostRecent *nodeConn
+	var mostRecentConn *nodeConn
 	for _, nc := range link.conns {
-		if nc.keepAlive.Usable() && (mostRecent == nil || nc.keepAlive.LastReceived > mostRecent.keepAlive.LastReceived) {
-			mostRecent = nc
+		if nc.keepAlive.Usable() && (mostRecentConn == nil || nc.keepAlive.LastReceived > mostRecentConn.keepAlive.LastReceived) {
+			mostRecentConn = nc
 		}
 	}
-	return mostRecent
+	return mostRecentConn
 }
 
 // anyConn returns a usable connection to the node. If no connection is usable, it returns any established
@@ -125,10 +125,10 @@
 	return nil
 }
 
-// dial starts to open a connection to the node, unless one is being dialed already. It reports failures in a
-// later iteration of the event loop.
+// dial starts to open a connection to the node, unless a dial is already in progress. If the connection
+// cannot be opened, dialFailed is called in a later iteration of the event loop.
 func (link *nodeLink) dial() {
-	if link.dialing != nil {
+	if link.dialingConn != nil {
 		return
 	}
 	s := link.server
@@ -145,17 +145,17 @@
 	}
 	conn.MaxInputBytes = 2 * protocol.MaxLineBytes
 	nc.conn = conn
-	link.dialing = nc
+	link.dialingConn = nc
 	s.nodes.takeSlot()
 }
 
-// connEstablished adds a connection that was just established. It sends the pending messages and schedules the
-// queued attempts.
+// connEstablished adds a connection that was just established. It sends the pending messages and schedules
+// the queued attempts.
 func (link *nodeLink) connEstablished(nc *nodeConn) {
 	s := link.server
 	link.reachability.Received(s.loop.Now())
-	if link.dialing == nc {
-		link.dialing = nil
+	if link.dialingConn == nc {
+		link.dialingConn = nil
 	}
 	link.backoff.Reset()
 	link.conns = append(link.conns, nc)
@@ -171,8 +171,8 @@
 	s.applyReadyEffects()
 }
 
-// dialFailed records a failed dial and tells the dispatch core that no connection could be established for the
-// queued attempts.
+// dialFailed records a failed dial and tells the dispatch core that no connection could be established for
+// the queued attempts.
 func (link *nodeLink) dialFailed(err error) {
 	s := link.server
 	s.stats.NodeDialsFailed++
@@ -200,8 +200,8 @@
 	}
 }
 
-// maintain closes connections to the node that are idle or unresponsive, and decides whether the node must be
-// dialed. It removes the link if the node has terminated and runs no tasks.
+// maintain closes idle and unresponsive connections to the node, and decides whether the node must be dialed.
+// It removes the link some time after the node has terminated, once no task runs on the node.
 func (link *nodeLink) maintain() {
 	s := link.server
 	now := s.loop.Now()
@@ -247,7 +247,7 @@
 	return (link.hasTasks || len(link.pendingMessages) > 0) && len(link.conns) == 0
 }
 
-// checkReachability tells the dispatch core if the node is unreachable, and returns whether the node may be
+// checkReachability notifies the dispatch core if the node is unreachable. It returns whether the node may be
 // dialed. A terminated node must not be dialed: another node may use its address, and messages from that node
 // would be attributed to the terminated node.
 func (link *nodeLink) checkReachability(now clock.Instant, node *dispatch.Node) bool {
@@ -274,5 +274,5 @@
 // isDialDue reports whether the node must be dialed now. This is the case if it needs a connection, none is
 // established or being dialed, and the delay after the last failed dial has elapsed.
 func (link *nodeLink) isDialDue(now clock.Instant) bool {
-	return link.needsConn && len(link.conns) == 0 && link.dialing == nil && now >= link.retryAt
+	return link.needsConn && len(link.conns) == 0 && link.dialingConn == nil && now >= link.retryAt
 }
--- a/internal/platform/server/shutdown.go
+++ b/internal/platform/server/shutdown.go
@@ -8,22 +8,23 @@
 	"heathshed/internal/control/clock"
 )
 
-// These constants are the durations of the phases of a graceful stop, which begins when the platform signals
-// the scheduler to stop.
+// These constants are the durations of the phases of a graceful stop. A graceful stop begins when the
+// scheduler process receives a stop signal.
 const (
-	// acceptGrace is the time from the stop signal until the listener closes. On the platform, clients still
-	// open connections and send requests for at most 0.7 s after the stop signal.
+	// acceptGrace is the time from the stop signal until the listener closes. Clients still open connections
+	// and send requests for at most 0.7 s after the stop signal.
 	acceptGrace  = 850 * time.Millisecond
 	pollInterval = 10 * time.Millisecond  // pollInterval is the time between two checks of whether the stop can proceed.
-	closeGrace   = 500 * time.Millisecond // closeGrace is the time that clients have at the end to close their connections.
-	// minCloseGrace is the part of closeGrace that clients have even if the stop is already late. stopReserve
-	// is longer, so the platform does not kill the scheduler within this time.
+	closeGrace   = 500 * time.Millisecond // closeGrace is the maximum time that the server waits for clients to close connections.
+	// minCloseGrace is the time that clients have to close their connections even if the timeout of the stop
+	// has passed. It is shorter than stopReserve, so the scheduler is not killed within this time.
 	minCloseGrace = 100 * time.Millisecond
 )
 
-// These constants determine when a graceful stop must be complete. The platform kills a scheduler some time
-// after the stop signal: after the longest deadline of all task classes, limited to maxStopDeadline, plus
-// stopMargin. The server stops earlier by stopReserve, in case the processor is busy.
+// These constants determine when a graceful stop must be complete, because the environment that started the
+// scheduler kills it some time after the stop signal. This time is the longest deadline of all task classes,
+// limited to maxStopDeadline, plus stopMargin. The server stops earlier by stopReserve, in case the processor
+// is busy.
 const (
 	maxStopDeadline = 3 * time.Second
 	stopMargin      = 700 * time.Millisecond
@@ -56,18 +57,19 @@
 	s.loop.After(acceptGrace, stop.finish)
 }
 
-// finish closes the listener, and closes the client connections once no placement request is open. While tasks
-// run, the server continues for as long as the platform reliably allows, in order to notify clients of tasks
-// that end. If no scheduler learns of the end of a task, the client of the task is notified late or never.
+// finish closes the listener. It closes the client connections once every placement request is answered.
+// While tasks run or input from clients remains to be handled, it also waits for them, but not beyond the
+// timeout of the stop. During this time, the server notifies clients of tasks that end. If no scheduler
+// learned of the end of a task, the client of the task would be notified late or never.
 func (stop *shutdown) finish() {
 	s := stop.server
 	if !s.listener.Closed() {
 		s.listener.AcceptPending()
 		s.listener.Close()
 	}
-	unread := s.clients.readAllConns()
+	inputRemains := s.clients.readAllConns()
 	withinTimeout := s.loop.Now() < stop.requestedAt.Add(stop.timeout())
-	if s.core.OpenRequests() > 0 || withinTimeout && (unread || stop.canNotifyClients()) {
+	if s.core.OpenRequests() > 0 || withinTimeout && (inputRemains || stop.canNotifyClients()) {
 		s.loop.After(pollInterval, stop.finish)
 		return
 	}
@@ -77,15 +79,16 @@
 	stop.awaitClientsClosed(max(now.Add(minCloseGrace), deadline))
 }
 
-// canNotifyClients reports whether tasks run whose end could still be reported to a connected client.
+// canNotifyClients reports whether a task is running and a client is connected. If so, the task may still end
+// and the server can notify the client.
 func (stop *shutdown) canNotifyClients() bool {
 	s := stop.server
 	return s.core.RunningTasks() > 0 && len(s.clients.byID) > 0
 }
 
-// awaitClientsClosed completes the stop when all clients have closed their connections, at the latest at the
-// deadline. If the process ended while data from a client was unread, the kernel would reset the connection
-// of this client and discard answers that the client has not read yet.
+// awaitClientsClosed completes the stop when all clients have closed their connections, or when the deadline
+// has passed. If the process ended while data from a client was unread, the kernel would reset the connection
+// of this client. The client would then lose the answers that it has not read yet.
 func (stop *shutdown) awaitClientsClosed(deadline clock.Instant) {
 	s := stop.server
 	if len(s.clients.byID) > 0 && s.loop.Now() < deadline {
@@ -97,7 +100,8 @@
 	stop.onStopped()
 }
 
-// timeout returns how long the platform reliably lets a scheduler run after the stop signal.
+// timeout returns how long after the stop signal the server may wait for running tasks. The scheduler is
+// killed stopReserve after this time.
 func (stop *shutdown) timeout() time.Duration {
 	return min(stop.server.config.longestDeadline(), maxStopDeadline) + stopMargin - stopReserve
 }
