--- a/cmd/heathshed/config.go
+++ b/cmd/heathshed/config.go
@@ -26,10 +26,10 @@
 				return err
 			}
 			if migrate {
-				printf(command.OutOrStdout(), "%s", document.Migrated)
+				printf(command.OutOrStdout(), "%s", document.MigratedText)
 				return nil
 			}
-			for _, former := range document.Former {
+			for _, former := range document.FormerNames {
 				printf(command.OutOrStdout(), "%s:%v\n", args[0], former)
 			}
 			printf(command.OutOrStdout(), "%s: ok\n", args[0])
--- a/cmd/heathshed/serve.go
+++ b/cmd/heathshed/serve.go
@@ -76,7 +76,7 @@
 	http.MemoryQuotaBytes = memquota.Divide(memory).Connections
 	return scheduler.Options{
 		// Revisions begin at the time in microseconds, so that they continue to grow over restarts.
-		Engine:           settings.Engine(seed, loop.Now().UnixMicro()),
+		Engine:           settings.EngineConfig(seed, loop.Now().UnixMicro()),
 		ListenAddress:    settings.Listen,
 		InventoryAddress: settings.Inventory,
 		Version:          version,
--- a/internal/config/characterization_test.go
+++ b/internal/config/characterization_test.go
@@ -119,7 +119,7 @@
 	lifetimes, _ := json.Marshal(labconfig.Lifetimes(settings))
 	record.Bytes(priorities)
 	record.Bytes(lifetimes)
-	recordEngine(record, settings.Engine(7, 11))
+	recordEngine(record, settings.EngineConfig(7, 11))
 	record.Checkpoint(fmt.Sprintf("file %d derived", file))
 }
 
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -5,7 +5,7 @@
 // The package is pure except for Load and LoadDocument, which read a file.
 //
 // Begin reading at Settings and Load (config.go). decode.go decodes the text, renames.go translates the names of release 0.1 (former.go),
-// validate.go checks the values, and derive.go has Settings.Engine.
+// validate.go checks the values, and derive.go has Settings.EngineConfig.
 package config
 
 import (
@@ -139,9 +139,9 @@
 
 // Document is a decoded settings file.
 type Document struct {
-	Settings Settings
-	Former   []FormerName // the former names in the file, in the order of the file
-	Migrated []byte       // the file with present names in place of former ones; comments are kept
+	Settings     Settings
+	FormerNames  []FormerName // the former names in the file, in the order of the file
+	MigratedText []byte       // the file with present names in place of former ones; comments are kept
 }
 
 // Load reads a settings file over the defaults and checks the result.
@@ -171,7 +171,7 @@
 	if err := dec.decode(&s, s.validate); err != nil {
 		return Document{}, err
 	}
-	return Document{Settings: s, Former: dec.former, Migrated: dec.document.Pack()}, nil
+	return Document{Settings: s, FormerNames: dec.former, MigratedText: dec.document.Pack()}, nil
 }
 
 // Decode decodes JSON with comments from text into target, a pointer to a struct with json tags, and calls validate afterwards. Fields that are
--- a/internal/config/derive.go
+++ b/internal/config/derive.go
@@ -13,8 +13,8 @@
 // overQuotaWeight is the factor on the weight of tasks beyond their tenant's quota.
 const overQuotaWeight = 0.2
 
-// Engine returns the configuration of a scheduler's engine. baseRev is the store's first revision.
-func (s *Settings) Engine(seed uint64, baseRev int64) engine.Config {
+// EngineConfig returns the configuration of a scheduler's engine. baseRev is the store's first revision.
+func (s *Settings) EngineConfig(seed uint64, baseRev int64) engine.Config {
 	memory := memquota.Divide(int64(s.Limits.MemoryMiB) << 20)
 	cfg := engine.Config{
 		MaxHistoryBytes: memory.History,
--- a/internal/config/errors.go
+++ b/internal/config/errors.go
@@ -24,15 +24,15 @@
 	File         string
 	Line, Column int
 	Path         string // of the setting, such as classes[1].idempotency; "" if the text is not valid JSON
-	GivenAs      string // the path with the former names used in the file, such as classes[1].effect; "" if there are none
+	FormerPath   string // the path with the former names used in the file, such as classes[1].effect; "" if there are none
 	Message      string
 }
 
 func (e *Error) Error() string {
 	message := e.Message
 	switch {
-	case e.GivenAs != "":
-		message = fmt.Sprintf("%s (given as %s): %s", e.Path, e.GivenAs, e.Message)
+	case e.FormerPath != "":
+		message = fmt.Sprintf("%s (given as %s): %s", e.Path, e.FormerPath, e.Message)
 	case e.Path != "":
 		message = e.Path + ": " + e.Message
 	}
@@ -44,7 +44,7 @@
 	line, column := d.lineAndColumn(offset)
 	e := &Error{File: d.file, Line: line, Column: column, Path: path, Message: fmt.Sprintf(format, args...)}
 	if written := d.positions[path].written; written != path {
-		e.GivenAs = written
+		e.FormerPath = written
 	}
 	return e
 }
--- a/internal/config/renames.go
+++ b/internal/config/renames.go
@@ -17,33 +17,33 @@
 type RenamedKey struct {
 	Section string // path of the enclosing object in present names, such as classes; "" at the top
 	Former  string
-	Name    string
+	Current string
 }
 
 // RenamedValue is a renamed value of a setting.
 type RenamedValue struct {
-	Path   string // of the setting in present names, such as classes.dedupDomain
-	Former string
-	Value  string
+	Path    string // of the setting in present names, such as classes.dedupDomain
+	Former  string
+	Current string
 }
 
 // FormerName is the use of a former name in a file, for a setting or for its value.
 type FormerName struct {
 	Line, Column int
 	Former       string // path as written in the file, or path and value
-	Present      string // the same in present names
+	Current      string // the same in present names
 }
 
 // String describes the replacement of the former name, with its line and column.
 func (f FormerName) String() string {
-	return fmt.Sprintf("%d:%d: %s is now %s", f.Line, f.Column, f.Former, f.Present)
+	return fmt.Sprintf("%d:%d: %s is now %s", f.Line, f.Column, f.Former, f.Current)
 }
 
 // keyName returns the present name of a setting of a section.
 func (r *Renames) keyName(section, name string) string {
 	for i := range r.Keys {
 		if key := &r.Keys[i]; key.Section == section && key.Former == name {
-			return key.Name
+			return key.Current
 		}
 	}
 	return name
@@ -53,7 +53,7 @@
 func (r *Renames) value(path, text string) string {
 	for i := range r.Values {
 		if value := &r.Values[i]; value.Path == path && value.Former == text {
-			return value.Value
+			return value.Current
 		}
 	}
 	return text
@@ -94,5 +94,5 @@
 
 func (d *decoder) noteFormer(offset int, former, present string) {
 	line, column := d.lineAndColumn(offset)
-	d.former = append(d.former, FormerName{Line: line, Column: column, Former: former, Present: present})
+	d.former = append(d.former, FormerName{Line: line, Column: column, Former: former, Current: present})
 }
--- a/internal/config/renames_test.go
+++ b/internal/config/renames_test.go
@@ -49,7 +49,7 @@
 		section, name = path[:dot], path[dot+1:]
 	}
 	for _, key := range formerNames.Keys {
-		if key.Section == section && key.Name == name {
+		if key.Section == section && key.Current == name {
 			name = key.Former
 		}
 	}
@@ -106,7 +106,7 @@
 	}
 	present := settingNames(reflect.TypeFor[Settings](), "")
 	for _, key := range formerNames.Keys {
-		former, name := joinPath(key.Section, key.Former), joinPath(key.Section, key.Name)
+		former, name := joinPath(key.Section, key.Former), joinPath(key.Section, key.Current)
 		if !slices.Contains(present, name) {
 			t.Errorf("%s is no setting", name)
 		}
@@ -117,15 +117,15 @@
 		listedOnce("present name", name)
 	}
 	for _, value := range formerNames.Values {
-		if _, known := topologyDomains[value.Value]; !known || !slices.Contains(present, value.Path) {
-			t.Errorf("%s: %q, formerly %q, is no value of a setting", value.Path, value.Value, value.Former)
+		if _, known := topologyDomains[value.Current]; !known || !slices.Contains(present, value.Path) {
+			t.Errorf("%s: %q, formerly %q, is no value of a setting", value.Path, value.Current, value.Former)
 		}
 		if _, known := topologyDomains[value.Former]; known {
-			t.Errorf("%s: %q is a value, and the former word for %q", value.Path, value.Former, value.Value)
+			t.Errorf("%s: %q is a value, and the former word for %q", value.Path, value.Former, value.Current)
 		}
 		// Present and former values share one name space: a value cannot be both.
 		listedOnce("value of", value.Path+" "+value.Former)
-		listedOnce("value of", value.Path+" "+value.Value)
+		listedOnce("value of", value.Path+" "+value.Current)
 	}
 }
 
@@ -138,12 +138,12 @@
 	if want := Default(); !reflect.DeepEqual(document.Settings, want) {
 		t.Errorf("%+v, want the defaults", document.Settings)
 	}
-	migrated, err := parseDocument("f", document.Migrated)
+	migrated, err := parseDocument("f", document.MigratedText)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if len(migrated.Former) != 0 || string(migrated.Migrated) != string(document.Migrated) {
-		t.Errorf("a migrated file is migrated again: %v", migrated.Former)
+	if len(migrated.FormerNames) != 0 || string(migrated.MigratedText) != string(document.MigratedText) {
+		t.Errorf("a migrated file is migrated again: %v", migrated.FormerNames)
 	}
 	if !reflect.DeepEqual(migrated.Settings, document.Settings) {
 		t.Errorf("%+v after the migration, want the same as before it", migrated.Settings)
@@ -194,11 +194,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if string(document.Migrated) != wantMigrated {
-		t.Errorf("migrated:\n%s\nwant\n%s", document.Migrated, wantMigrated)
+	if string(document.MigratedText) != wantMigrated {
+		t.Errorf("migrated:\n%s\nwant\n%s", document.MigratedText, wantMigrated)
 	}
 	var former []string
-	for _, name := range document.Former {
+	for _, name := range document.FormerNames {
 		former = append(former, name.String())
 	}
 	if !slices.Equal(former, wantFormer) {
@@ -258,7 +258,7 @@
 		if key.Section == "classes" {
 			section, formerSection = "classes[]", "classes[]"
 		}
-		row := "| `" + joinPath(formerSection, key.Former) + "` | `" + joinPath(section, key.Name) + "` |"
+		row := "| `" + joinPath(formerSection, key.Former) + "` | `" + joinPath(section, key.Current) + "` |"
 		if !strings.Contains(string(page), row) {
 			t.Errorf("operations.md has no row %s", row)
 		}
--- a/internal/kube/api/characterization_writes_test.go
+++ b/internal/kube/api/characterization_writes_test.go
@@ -206,7 +206,7 @@
 // Together, the Jobs have more Pods than the engine allows.
 func TestCharacterizeFullServer(t *testing.T) {
 	settings := config.Default()
-	cfg := settings.Engine(1, 1000)
+	cfg := settings.EngineConfig(1, 1000)
 	cfg.MaxPods = 5
 	session := newSessionWith(t, cfg)
 	for i := range 3 {
--- a/internal/kube/engine/script_test.go
+++ b/internal/kube/engine/script_test.go
@@ -58,7 +58,7 @@
 	defaults := config.Default()
 	defaults.Tenants = []config.Tenant{{Name: "first", Share: 0.7}, {Name: "second", Share: 0.3}}
 	defaults.Limits.FinishedTTL = 40
-	config := defaults.Engine(seed, 1000)
+	config := defaults.EngineConfig(seed, 1000)
 	if configure != nil {
 		configure(&config)
 	}
--- a/internal/kube/scheduler/harness_test.go
+++ b/internal/kube/scheduler/harness_test.go
@@ -149,7 +149,7 @@
 	httpOptions.MemoryQuotaBytes = memquota.Divide(int64(cluster.settings.Limits.MemoryMiB) << 20).Connections
 	var err error
 	cluster.scheduler, err = New(loop, Options{
-		Engine:           cluster.settings.Engine(7, loop.Now().UnixMicro()),
+		Engine:           cluster.settings.EngineConfig(7, loop.Now().UnixMicro()),
 		ListenAddress:    cluster.settings.Listen,
 		InventoryAddress: cluster.settings.Inventory,
 		Version:          "test",
--- a/internal/kube/scheduler/metrics_test.go
+++ b/internal/kube/scheduler/metrics_test.go
@@ -97,7 +97,7 @@
 	}
 	settings := config.Default()
 	s, err := New(loop, Options{
-		Engine:           settings.Engine(7, 1000),
+		Engine:           settings.EngineConfig(7, 1000),
 		ListenAddress:    "127.0.0.1:0",
 		InventoryAddress: "127.0.0.1:1",
 		HTTP:             httpd.DefaultOptions(),
--- a/internal/kube/scheduler/phase_test.go
+++ b/internal/kube/scheduler/phase_test.go
@@ -43,7 +43,7 @@
 		{"stopping", phaseStopping, nil, time.Minute, "the scheduler stops"},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			eng, err := engine.New(settings.Engine(1, 1))
+			eng, err := engine.New(settings.EngineConfig(1, 1))
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/internal/lab/labconfig/script.go
+++ b/internal/lab/labconfig/script.go
@@ -11,12 +11,12 @@
 
 // formerScriptNames are the names of a script's fields in release 0.1.
 var formerScriptNames = config.Renames{Keys: []config.RenamedKey{
-	{Section: "", Former: "trouble", Name: "faults"},
-	{Section: "", Former: "calm", Name: "cooldown"},
-	{Section: "load", Former: "life", Name: "lifetime"},
-	{Section: "load", Former: "backoff", Name: "backoffLimit"},
-	{Section: "faults", Former: "for", Name: "duration"},
-	{Section: "faults", Former: "part", Name: "fraction"},
+	{Section: "", Former: "trouble", Current: "faults"},
+	{Section: "", Former: "calm", Current: "cooldown"},
+	{Section: "load", Former: "life", Current: "lifetime"},
+	{Section: "load", Former: "backoff", Current: "backoffLimit"},
+	{Section: "faults", Former: "for", Current: "duration"},
+	{Section: "faults", Former: "part", Current: "fraction"},
 }}
 
 // LoadScript reads the script of a fault scenario. Fields that are absent from the file have the values of the built-in script, except for its
--- a/internal/lab/labconfig/script_test.go
+++ b/internal/lab/labconfig/script_test.go
@@ -70,9 +70,9 @@
 func TestFormerScriptNamesAreThoseOfRelease01(t *testing.T) {
 	want, printed := readRelease01(t), printBuiltIn(t)
 	for _, key := range formerScriptNames.Keys {
-		present, former := []byte(`"`+key.Name+`":`), []byte(`"`+key.Former+`":`)
+		present, former := []byte(`"`+key.Current+`":`), []byte(`"`+key.Former+`":`)
 		if bytes.Contains(printed, former) || !bytes.Contains(printed, present) {
-			t.Errorf("%s.%s is no present field, or %s is one", key.Section, key.Name, key.Former)
+			t.Errorf("%s.%s is no present field, or %s is one", key.Section, key.Current, key.Former)
 		}
 		printed = bytes.ReplaceAll(printed, present, former)
 	}
--- a/internal/lab/simulation/settings.go
+++ b/internal/lab/simulation/settings.go
@@ -57,7 +57,7 @@
 		own.Self = i
 		own.Peers = script.Schedulers
 		own.Name = SchedulerName(i)
-		cfg.Schedulers = append(cfg.Schedulers, own.Engine(script.Seed*schedulerSeedFactor+uint64(i), 0))
+		cfg.Schedulers = append(cfg.Schedulers, own.EngineConfig(script.Seed*schedulerSeedFactor+uint64(i), 0))
 	}
 	return cfg
 }
