--- a/internal/config/characterization_test.go
+++ b/internal/config/characterization_test.go
@@ -44,9 +44,9 @@
 	derived.Check(t, "derived")
 }
 
-// TestFormerFilesDeriveTheSame pins what is derived from files with the names of settings of release 0.1: the same as from those of
+// TestFormerNamesGiveSameDerivedConfig pins what is derived from files with the names of settings of release 0.1: the same as from those of
 // TestCharacterizeSettings, in which the same values are changed one after the other.
-func TestFormerFilesDeriveTheSame(t *testing.T) {
+func TestFormerNamesGiveSameDerivedConfig(t *testing.T) {
 	former, err := os.ReadFile("testdata/settings-0.1.json")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -21,7 +21,7 @@
 	}
 }
 
-func TestErrorsNameTheirPosition(t *testing.T) {
+func TestErrorsContainPosition(t *testing.T) {
 	for _, test := range []struct{ name, text, want string }{
 		{"nothing", `{}`, ""},
 		{"comments", "// c\n{\n  /* d */ \"name\": \"a\", // e\n}\n", ""},
@@ -63,7 +63,7 @@
 }
 
 // Settings that are not read from a file have no position: the error names the setting.
-func TestValidateNamesTheField(t *testing.T) {
+func TestValidateReportsField(t *testing.T) {
 	for _, test := range []struct {
 		name   string
 		change func(*Settings)
--- a/internal/config/duration_test.go
+++ b/internal/config/duration_test.go
@@ -10,7 +10,7 @@
 )
 
 // A duration is read from a string with a unit or from a number of seconds, and printed so that the same duration is read again.
-func TestDurationForms(t *testing.T) {
+func TestDurationFormats(t *testing.T) {
 	for _, test := range []struct {
 		name, text string
 		want       Duration
@@ -49,7 +49,7 @@
 }
 
 // A string that is no duration is an error, not zero.
-func TestBadDurations(t *testing.T) {
+func TestInvalidDurations(t *testing.T) {
 	const want = `, want a duration such as "250ms", or a number of seconds`
 	checkParseErrors(t, []parseErrorCase{
 		{"no unit", `{"nodeSyncTimeout":"5"}`, "f:1:20: nodeSyncTimeout: 5" + want},
@@ -61,7 +61,7 @@
 }
 
 // A text with a unit gives the same floating point number as the same decimal number of seconds, with up to nine decimals.
-func TestDurationTextsAndNumbersAgree(t *testing.T) {
+func TestDurationStringsEqualNumbers(t *testing.T) {
 	const maxBits = 53 // of nanoseconds: below 2^52, which are 52 days
 	rng := rand.New(rand.NewPCG(1, 2))
 	for range 200_000 {
@@ -81,7 +81,7 @@
 	}
 }
 
-func TestDurationLimits(t *testing.T) {
+func TestDurationConversionLimits(t *testing.T) {
 	for _, test := range []struct {
 		name    string
 		seconds Duration
--- a/internal/config/renames_test.go
+++ b/internal/config/renames_test.go
@@ -63,7 +63,7 @@
 var tenantKeys = []string{"tenants.name", "tenants.share", "tenants.cores"}
 
 // The table of former names is complete and one to one: from the names of all settings it gives those of release 0.1, each once.
-func TestFormerNamesAreThoseOfRelease01(t *testing.T) {
+func TestFormerNamesMatchRelease01(t *testing.T) {
 	text, err := os.ReadFile("testdata/settings-0.1.json")
 	if err != nil {
 		t.Fatal(err)
@@ -130,7 +130,7 @@
 }
 
 // The file of release 0.1 gives the default settings, also once it is migrated, which leaves no former name in it.
-func TestFormerDefaultsAreTheDefaults(t *testing.T) {
+func TestRelease01DefaultsEqualDefaults(t *testing.T) {
 	document, err := LoadDocument("testdata/settings-0.1.json")
 	if err != nil {
 		t.Fatal(err)
@@ -211,7 +211,7 @@
 }
 
 // A setting that is given under both of its names is an error that names both lines.
-func TestBothNamesOfASetting(t *testing.T) {
+func TestSettingGivenUnderBothNames(t *testing.T) {
 	checkParseErrors(t, []parseErrorCase{
 		{"former name first", "{\n\"heardWithin\": 1,\n\"nodeSyncTimeout\": 1}",
 			`f:3:1: nodeSyncTimeout: given twice, as "heardWithin" in line 2 and as "nodeSyncTimeout" in line 3`},
@@ -226,7 +226,7 @@
 }
 
 // A name that changed in one section is unknown in the others.
-func TestFormerNamesHoldInTheirSection(t *testing.T) {
+func TestFormerNamesApplyOnlyInTheirSection(t *testing.T) {
 	for _, test := range []struct{ name, text, want string }{
 		{"of a class at the top", `{"effect": 1}`, "f:1:2: effect: no such setting"},
 		{"of admission in retry", `{"retry": {"window": 1}}`, "f:1:12: retry.window: no such setting"},
