--- a/internal/config/characterization_test.go
+++ b/internal/config/characterization_test.go
@@ -15,11 +15,13 @@
 	"heathshed/internal/testsupport/goldentest"
 )
 
-// The tests pin printed settings, what follows from them, and the texts of errors. Regenerate the golden files with
-// HEATHSHED_UPDATE_GOLDEN=1 only if behaviour is meant to change; see package goldentest.
+// The tests in this file compare printed settings, the configurations derived from settings, and error messages
+// with golden files. The golden files may be regenerated with HEATHSHED_UPDATE_GOLDEN=1 only if a change of
+// behaviour is intended; see package goldentest.
 
-// TestCharacterizeSettings pins the printed defaults, good files and the errors of bad ones. What is derived from the good files has a golden
-// file of its own, which holds no names of settings.
+// TestCharacterizeSettings records the printed default settings, the printed settings of valid files, and the
+// errors of invalid files. The configurations derived from the valid files have a separate golden file, which
+// contains no names of settings. Files with former names can therefore be compared with the same golden file.
 func TestCharacterizeSettings(t *testing.T) {
 	printed, derived := goldentest.NewRecorder(), goldentest.NewRecorder()
 	defaults := config.Default()
@@ -44,8 +46,9 @@
 	derived.Check(t, "derived")
 }
 
-// TestFormerNamesGiveSameDerivedConfig pins what is derived from files with the names of settings of release 0.1: the same as from those of
-// TestCharacterizeSettings, in which the same values are changed one after the other.
+// TestFormerNamesGiveSameDerivedConfig guards against a former name that is mapped to the wrong setting. It
+// makes the same changes to a file with the names of release 0.1 that TestCharacterizeSettings makes to a file
+// with current names, and compares the derived configurations with the golden file of that test.
 func TestFormerNamesGiveSameDerivedConfig(t *testing.T) {
 	former, err := os.ReadFile("testdata/settings-0.1.json")
 	if err != nil {
@@ -60,12 +63,15 @@
 	derived.Check(t, "derived")
 }
 
-// classFile returns the text of a file with one class, which has the given fields beside its name, and is the default.
+// classFile returns the text of a file with a single task class, which is the default. The task class has the
+// given fields in addition to its name.
 func classFile(fields string) string {
 	return `{"classes": [{"name": "a", ` + fields + `}], "defaultClass": "a"}`
 }
 
-// settingsFiles are valid files, and the default with one field after the other replaced by values of the wrong kind or out of range.
+// settingsFiles returns the texts of valid and invalid settings files. They include text, which contains the
+// default settings, and copies of text in which the value of one setting has been replaced. The replacement
+// values include values of the wrong type and values out of range.
 func settingsFiles(text string) []string {
 	const classTail = `, "aim": 1, "deadline": 2, "worth": 1, "calmUpTo": 1, "fadesOver": 1`
 	const node, idempotent = `{"name": "k", "cores": 4, "memory": 8}`, `"effect": "idempotent"`
@@ -83,22 +89,22 @@
 		`{"standin": 1}`, `{"gate": {"on": false}}`, `{"gate": {"on": 1}}`, `{"rules": null}`, text,
 	}
 	for _, line := range strings.Split(text, "\n") {
-		name, _, found := strings.Cut(line, ": ")
-		if !found || strings.HasSuffix(line, "{") || strings.HasSuffix(line, "[") {
+		key, _, isSetting := strings.Cut(line, ": ")
+		if !isSetting || strings.HasSuffix(line, "{") || strings.HasSuffix(line, "[") {
 			continue
 		}
 		for _, value := range []string{"-1", "1e300", `"x"`, "true"} {
-			changed := name + ": " + value
+			changedLine := key + ": " + value
 			if strings.HasSuffix(line, ",") {
-				changed += ","
+				changedLine += ","
 			}
-			files = append(files, strings.Replace(text, line, changed, 1))
+			files = append(files, strings.Replace(text, line, changedLine, 1))
 		}
 	}
 	return files
 }
 
-// recordPrinted records the printed form of settings.
+// recordPrinted records the text of settings as Settings.Text prints it.
 func recordPrinted(t *testing.T, record *goldentest.Recorder, settings *config.Settings) {
 	t.Helper()
 	text, err := settings.Text()
@@ -109,8 +115,9 @@
 	record.Checkpoint("  printed")
 }
 
-// recordDerived records what is derived from the settings of the file with an index, floats by their bits: emulated nodes, priorities,
-// lifetimes and the engine's configuration.
+// recordDerived records everything that is derived from the settings of one file: the emulated nodes, the
+// priorities and lifetimes of tasks, and the configuration of the engine. Floating-point numbers are recorded
+// by their bits. The argument file is the index of the file.
 func recordDerived(record *goldentest.Recorder, file int, settings *config.Settings) {
 	for i := range 9 {
 		recordNode(record, labconfig.NodeAt(settings, i))
@@ -123,7 +130,7 @@
 	record.Checkpoint(fmt.Sprintf("file %d derived", file))
 }
 
-// recordValues records values in their order, each by its kind.
+// recordValues records the values in the given order. The kind of each value determines how it is recorded.
 func recordValues(record *goldentest.Recorder, values ...any) {
 	for _, value := range values {
 		switch reflected := reflect.ValueOf(value); reflected.Kind() {
@@ -136,11 +143,12 @@
 		case reflect.Int, reflect.Int64:
 			record.Integers(reflected.Int())
 		default:
-			record.Integers(int64(reflected.Uint())) // panics if it is of another kind
+			record.Integers(int64(reflected.Uint())) // Uint panics if the value is not an unsigned integer
 		}
 	}
 }
 
+// recordNode records the configuration of an emulated node.
 func recordNode(record *goldentest.Recorder, emulated labconfig.EmulatedNode) {
 	node := emulated.Sim
 	recordValues(record, emulated.NodeType, emulated.Rack, emulated.Zone, node.Cores, node.Memory, node.Overcommit.Cores, node.Overcommit.Memory)
@@ -151,6 +159,7 @@
 	recordValues(record, node.AnswerWhenRunning, node.Preempts, node.Cold)
 }
 
+// recordEngine records the configuration of an engine.
 func recordEngine(record *goldentest.Recorder, derived engine.Config) {
 	limits, retries, policy := derived.Admission, derived.Retry, derived.Placer
 	attempts, slowStart, behavior := policy.Attempts, policy.SlowStart, policy.NodeBehavior
--- a/internal/config/decode.go
+++ b/internal/config/decode.go
@@ -10,39 +10,41 @@
 	"github.com/tailscale/hujson"
 )
 
-// decoder fills a struct from JSON with comments and records the position of each field.
+// decoder decodes JSON with comments into a struct and records the position of each setting.
 type decoder struct {
-	file      string
-	text      []byte
-	renames   *Renames
-	document  hujson.Value // the parsed text, in which former names are replaced while it is decoded
-	positions map[string]position
-	former    []FormerName
+	file        string // name of the file in errors
+	text        []byte // text as given to the decoder, with former names
+	renames     *Renames
+	document    hujson.Value        // parsed text, in which decoding replaces former names by current names
+	positions   map[string]position // position of each setting in text, by its path in current names
+	formerNames []FormerName        // former names that the text uses
 }
 
-// position is the place of a field in a text.
+// position is the position of a setting in the text.
 type position struct {
-	offset  int    // of the value
-	written string // path as written in the text, with former names
+	valueOffset int    // byte offset of the value of the setting
+	writtenPath string // path of the setting as written in the text, which may contain former names
 }
 
-// decode decodes JSON with comments and trailing commas into a struct with json tags and calls validate. An unknown or duplicate field is an
-// error; an absent field keeps its value. Paths are in present names.
+// decode decodes JSON with comments and trailing commas into the struct to which target points, and then
+// calls validate. An unknown or duplicate setting is an error. A setting that is absent from the text keeps
+// its value. The paths of settings in errors consist of current names.
 func (d *decoder) decode(target any, validate func() error) error {
 	var err error
 	if d.document, err = hujson.Parse(d.text); err != nil {
-		// The library names line and column in its message.
+		// The message of the library contains the line and column.
 		return &Error{File: d.file, Line: 1, Column: 1, Message: strings.TrimPrefix(err.Error(), "hujson: ")}
 	}
-	d.positions = map[string]position{"": {offset: d.document.StartOffset}}
-	if err := d.value(&d.document, "", reflect.ValueOf(target).Elem()); err != nil {
+	d.positions = map[string]position{"": {valueOffset: d.document.StartOffset}}
+	if err := d.decodeValue(&d.document, "", reflect.ValueOf(target).Elem()); err != nil {
 		return err
 	}
-	return d.locate(validate())
+	return d.addPosition(validate())
 }
 
-func (d *decoder) value(value *hujson.Value, path string, target reflect.Value) error {
-	d.presentValue(value, path)
+// decodeValue decodes a JSON value into target. The argument path is the path of the setting in current names.
+func (d *decoder) decodeValue(value *hujson.Value, path string, target reflect.Value) error {
+	d.replaceFormerValue(value, path)
 	if target.Kind() == reflect.Pointer {
 		target.Set(reflect.New(target.Type().Elem()))
 		target = target.Elem()
@@ -51,9 +53,9 @@
 	case *hujson.Object:
 		switch target.Kind() {
 		case reflect.Struct:
-			return d.object(typed, path, target)
+			return d.decodeObject(typed, path, target)
 		case reflect.Map:
-			return d.mapping(typed, path, target)
+			return d.decodeMap(typed, path, target)
 		default:
 			return d.errorAt(value.StartOffset, path, "an object, want %s", typeName(target))
 		}
@@ -61,61 +63,62 @@
 		if target.Kind() != reflect.Slice {
 			return d.errorAt(value.StartOffset, path, "a list, want %s", typeName(target))
 		}
-		return d.list(typed, path, target)
+		return d.decodeList(typed, path, target)
 	case hujson.Literal:
-		return d.literal(typed, value.StartOffset, path, target)
+		return d.decodeLiteral(typed, value.StartOffset, path, target)
 	}
-	return d.errorAt(value.StartOffset, path, "not understood")
+	return d.errorAt(value.StartOffset, path, "the value is not an object, list, string, number or boolean")
 }
 
-// object decodes into a struct.
-func (d *decoder) object(object *hujson.Object, path string, target reflect.Value) error {
-	given := map[string]givenMember{}
+// decodeObject decodes a JSON object into a struct.
+func (d *decoder) decodeObject(object *hujson.Object, path string, target reflect.Value) error {
+	occurrences := map[string]memberOccurrence{}
 	for i := range object.Members {
 		member := &object.Members[i]
-		this := givenMember{written: memberName(member), offset: member.Name.StartOffset}
-		name := d.presentName(member, path)
+		occurrence := memberOccurrence{name: memberName(member), nameOffset: member.Name.StartOffset}
+		name := d.replaceFormerKey(member, path)
 		memberPath := joinPath(path, name)
-		if first, twice := given[name]; twice {
-			return d.errorGivenTwice(memberPath, first, this)
+		if first, isDuplicate := occurrences[name]; isDuplicate {
+			return d.duplicateError(memberPath, first, occurrence)
 		}
-		given[name] = this
-		field, ok := fieldNamed(target, name)
-		if !ok {
+		occurrences[name] = occurrence
+		field, isKnown := fieldNamed(target, name)
+		if !isKnown {
 			return d.errorAt(member.Name.StartOffset, memberPath, "no such setting; there are %s", strings.Join(fieldNames(target), ", "))
 		}
-		if err := d.value(&member.Value, memberPath, field); err != nil {
+		if err := d.decodeValue(&member.Value, memberPath, field); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// givenMember is a member of an object as written in the text.
-type givenMember struct {
-	written string
-	offset  int // of the name
+// memberOccurrence is an occurrence of an object member in the text.
+type memberOccurrence struct {
+	name       string // name of the member as written in the text
+	nameOffset int    // byte offset of the name in the text
 }
 
-// errorGivenTwice returns an error about a duplicate field, which may have been given under two names.
-func (d *decoder) errorGivenTwice(path string, first, second givenMember) error {
-	if first.written == second.written {
-		return d.errorAt(second.offset, path, "given twice")
+// duplicateError returns the error for a setting that occurs twice in an object. The two occurrences may use
+// the former name and the current name of the setting.
+func (d *decoder) duplicateError(path string, first, second memberOccurrence) error {
+	if first.name == second.name {
+		return d.errorAt(second.nameOffset, path, "given twice")
 	}
-	firstLine, _ := d.lineAndColumn(first.offset)
-	secondLine, _ := d.lineAndColumn(second.offset)
-	return d.errorAt(second.offset, path, "given twice, as %q in line %d and as %q in line %d", first.written, firstLine, second.written, secondLine)
+	firstLine, _ := d.lineAndColumn(first.nameOffset)
+	secondLine, _ := d.lineAndColumn(second.nameOffset)
+	return d.errorAt(second.nameOffset, path, "given twice, as %q in line %d and as %q in line %d", first.name, firstLine, second.name, secondLine)
 }
 
-// mapping decodes into a map with string keys.
-func (d *decoder) mapping(object *hujson.Object, path string, target reflect.Value) error {
+// decodeMap decodes a JSON object into a map with string keys.
+func (d *decoder) decodeMap(object *hujson.Object, path string, target reflect.Value) error {
 	decoded := reflect.MakeMap(target.Type())
 	for i := range object.Members {
 		member := &object.Members[i]
-		name := d.presentName(member, path)
+		name := d.replaceFormerKey(member, path)
 		memberPath := joinPath(path, name)
 		element := reflect.New(target.Type().Elem()).Elem()
-		if err := d.value(&member.Value, memberPath, element); err != nil {
+		if err := d.decodeValue(&member.Value, memberPath, element); err != nil {
 			return err
 		}
 		key := reflect.ValueOf(name)
@@ -128,13 +131,13 @@
 	return nil
 }
 
-// list decodes into a slice.
-func (d *decoder) list(array *hujson.Array, path string, target reflect.Value) error {
+// decodeList decodes a JSON array into a slice.
+func (d *decoder) decodeList(array *hujson.Array, path string, target reflect.Value) error {
 	decoded := reflect.MakeSlice(target.Type(), len(array.Elements), len(array.Elements))
 	for i := range array.Elements {
 		index := fmt.Sprintf("[%d]", i)
-		d.positions[path+index] = position{offset: array.Elements[i].StartOffset, written: d.positions[path].written + index}
-		if err := d.value(&array.Elements[i], path+index, decoded.Index(i)); err != nil {
+		d.positions[path+index] = position{valueOffset: array.Elements[i].StartOffset, writtenPath: d.positions[path].writtenPath + index}
+		if err := d.decodeValue(&array.Elements[i], path+index, decoded.Index(i)); err != nil {
 			return err
 		}
 	}
@@ -142,15 +145,15 @@
 	return nil
 }
 
-// literal decodes a string, number or boolean.
-func (d *decoder) literal(literal hujson.Literal, offset int, path string, target reflect.Value) error {
+// decodeLiteral decodes a string, number or boolean.
+func (d *decoder) decodeLiteral(literal hujson.Literal, offset int, path string, target reflect.Value) error {
 	if !setLiteral(literal, target) {
 		return d.errorAt(offset, path, "%.40s, want %s", literal, typeName(target))
 	}
 	return nil
 }
 
-// setLiteral sets a value from a literal and reports whether the literal is of its type.
+// setLiteral sets target to the value of a literal. It reports whether the literal has the type of target.
 func setLiteral(literal hujson.Literal, target reflect.Value) bool {
 	if target.Type() == durationType {
 		return setDuration(literal, target)
@@ -176,7 +179,8 @@
 	return false
 }
 
-// setNumber sets a floating point number and reports whether the literal is a number in its range.
+// setNumber sets a floating-point target to the value of a literal. It reports whether the literal is a
+// number in the range of float64.
 func setNumber(literal hujson.Literal, target reflect.Value) bool {
 	if literal.Kind() != '0' || math.IsInf(literal.Float(), 0) {
 		return false
@@ -185,7 +189,8 @@
 	return true
 }
 
-// setInteger sets an integer and reports whether the literal is a whole number in its range.
+// setInteger sets an integer target to the value of a literal. It reports whether the literal is a whole
+// number in the range of int64 and, if target is unsigned, is not negative.
 func setInteger(literal hujson.Literal, target reflect.Value) bool {
 	var number int64
 	if err := json.Unmarshal([]byte(literal), &number); err != nil {
@@ -202,10 +207,12 @@
 	return true
 }
 
+// memberName returns the name of an object member as written in the document.
 func memberName(member *hujson.ObjectMember) string {
 	return member.Name.Value.(hujson.Literal).String()
 }
 
+// joinPath appends the name of a member to the path of the enclosing object.
 func joinPath(path, name string) string {
 	if path == "" {
 		return name
@@ -213,7 +220,8 @@
 	return path + "." + name
 }
 
-// fieldNamed returns the field of a struct with the given json name.
+// fieldNamed returns the field whose json tag contains the given name. It reports whether the struct has
+// such a field.
 func fieldNamed(v reflect.Value, name string) (reflect.Value, bool) {
 	for i := range v.NumField() {
 		if jsonName(v.Type().Field(i)) == name {
@@ -223,7 +231,7 @@
 	return reflect.Value{}, false
 }
 
-// fieldNames returns the json names of the fields of a struct.
+// fieldNames returns the names from the json tags of all fields of a struct.
 func fieldNames(v reflect.Value) []string {
 	var names []string
 	for i := range v.NumField() {
@@ -234,12 +242,13 @@
 	return names
 }
 
+// jsonName returns the name from the json tag of a field, or "" if the tag contains none.
 func jsonName(field reflect.StructField) string {
 	name, _, _ := strings.Cut(field.Tag.Get("json"), ",")
 	return name
 }
 
-// typeName returns the name of a type for errors.
+// typeName returns the description of the type of v for error messages.
 func typeName(v reflect.Value) string {
 	if v.Type() == durationType {
 		return `a duration such as "250ms", or a number of seconds`
--- a/internal/config/default.go
+++ b/internal/config/default.go
@@ -8,7 +8,7 @@
 	"heathshed/internal/kube/engine"
 )
 
-// Default returns the default settings, over which a settings file is read.
+// Default returns the default settings. The settings in a settings file replace them.
 func Default() Settings {
 	return Settings{
 		Name:         "heathshed",
@@ -58,6 +58,8 @@
 	}
 }
 
+// defaultClasses returns the default task classes. Each of them differs from the task class batch in a few
+// settings.
 func defaultClasses() []Class {
 	batch := Class{
 		Name:                "batch",
@@ -104,6 +106,7 @@
 	return []Class{web, batch, once, keyed, spread}
 }
 
+// defaultRetry returns the retry settings that correspond to retry.DefaultPolicy.
 func defaultRetry() Retry {
 	policy := retry.DefaultPolicy()
 	return Retry{
@@ -115,6 +118,7 @@
 	}
 }
 
+// defaultAdmission returns the settings that correspond to admission.DefaultConfig.
 func defaultAdmission() Admission {
 	controller := admission.DefaultConfig()
 	return Admission{
--- a/internal/config/derive.go
+++ b/internal/config/derive.go
@@ -10,11 +10,13 @@
 	"heathshed/placer"
 )
 
-// overQuotaWeight is the factor on the weight of tasks beyond their tenant's quota.
+// overQuotaWeight is the factor by which the weight of a task is multiplied if the task exceeds the quota of
+// its tenant.
 const overQuotaWeight = 0.2
 
-// EngineConfig returns the configuration of a scheduler's engine. baseRev is the store's first revision.
-func (s *Settings) EngineConfig(seed uint64, baseRev int64) engine.Config {
+// EngineConfig returns the configuration of the engine of a scheduler. The resource versions of stored objects
+// are greater than baseRevision.
+func (s *Settings) EngineConfig(seed uint64, baseRevision int64) engine.Config {
 	memory := memquota.Divide(int64(s.Limits.MemoryMiB) << 20)
 	cfg := engine.Config{
 		MaxHistoryBytes: memory.History,
@@ -22,7 +24,7 @@
 		Name:            s.Name,
 		Zone:            s.Zone,
 		Seed:            seed,
-		BaseRevision:    baseRev,
+		BaseRevision:    baseRevision,
 		HistoryEntries:  s.Limits.History,
 		MaxPods:         s.Limits.MaxPods,
 		FinishedTTL:     placer.Seconds(s.Limits.FinishedTTL),
@@ -46,6 +48,7 @@
 	return cfg
 }
 
+// controllerConfig returns the configuration of the admission controller.
 func (a *Admission) controllerConfig() admission.Config {
 	return admission.Config{
 		MinInFlight:      a.MinInFlight,
@@ -62,6 +65,7 @@
 	}
 }
 
+// policy returns the retry policy of the engine.
 func (r *Retry) policy() retry.Policy {
 	return retry.Policy{
 		Delay:                 placer.Seconds(r.Delay),
@@ -72,6 +76,7 @@
 	}
 }
 
+// placerConfig returns the configuration of package placer.
 func (s *Settings) placerConfig() placer.Config {
 	cfg := placer.Config{
 		Peers:           placer.Peers{Self: s.Self, Total: s.Peers},
@@ -111,6 +116,7 @@
 	return cfg
 }
 
+// placerClass returns the configuration of a task class for package placer.
 func (s *Settings) placerClass(class *Class) placer.Class {
 	return placer.Class{
 		Idempotency:         idempotencies[class.Idempotency],
--- a/internal/config/duration.go
+++ b/internal/config/duration.go
@@ -12,33 +12,39 @@
 	"github.com/tailscale/hujson"
 )
 
-// Duration is a length of time in settings. In a file it is a string with a unit, such as "250ms", or a number of seconds.
+// Duration is a duration in seconds. In a settings file, a duration is a string with a unit, such as "250ms",
+// or a number of seconds.
 //
-// It is a floating point number of seconds, as in the engine, and not a time.Duration: a number of seconds in a file reaches the engine without
-// rounding, even if it is not a whole number of nanoseconds or too large for a time.Duration.
+// Duration is a floating-point number like the durations of the engine, not a time.Duration. A number of
+// seconds in a file is therefore passed to the engine without rounding, even if it is not a whole number of
+// nanoseconds or exceeds the range of time.Duration.
 type Duration float64
 
-// DurationOf converts a time.Duration. Up to 104 days the result is the floating point number nearest to it.
+// DurationOf converts a time.Duration. If d is at most 104 days, the result is the floating-point number
+// nearest to the exact number of seconds.
 func DurationOf(d time.Duration) Duration {
 	if seconds := d / time.Second; seconds*time.Second == d {
 		return Duration(seconds)
 	}
-	// One division of two exact numbers rounds once. time.Duration.Seconds adds two rounded parts, which may give an adjacent number.
+	// The division of two exact numbers rounds once. The method time.Duration.Seconds adds two rounded parts,
+	// so its result may be the next smaller or larger floating-point number.
 	return Duration(float64(d) / float64(time.Second))
 }
 
 // Seconds returns the duration in seconds.
 func (d Duration) Seconds() float64 { return float64(d) }
 
-// Duration returns the duration rounded to nanoseconds, or the longest or shortest time.Duration if it is out of range.
+// Duration returns the duration rounded to nanoseconds. A duration outside the range of time.Duration yields
+// the largest or the smallest time.Duration.
 func (d Duration) Duration() time.Duration { return clock.Duration(d) }
 
-// isExact reports whether the duration is a whole number of nanoseconds, so that parsing its text form gives the same duration.
-func (d Duration) isExact() bool { return DurationOf(d.Duration()) == d }
+// isWholeNanoseconds reports whether conversion to time.Duration and back yields the same duration. Only in
+// this case can the string form of time.Duration represent the duration.
+func (d Duration) isWholeNanoseconds() bool { return DurationOf(d.Duration()) == d }
 
-// String returns the duration with a unit, such as 250ms or 1h30m.
+// String returns the duration with its units, such as 250ms or 1h30m.
 func (d Duration) String() string {
-	if !d.isExact() {
+	if !d.isWholeNanoseconds() {
 		return strconv.FormatFloat(float64(d), 'g', -1, 64) + "s"
 	}
 	text := d.Duration().String()
@@ -51,9 +57,10 @@
 	return text
 }
 
-// MarshalJSON encodes a string with a unit, or a number of seconds if parsing the string would not give the same duration.
+// MarshalJSON encodes the duration as a string with a unit. If parsing the string would not yield the same
+// duration, MarshalJSON encodes a number of seconds instead.
 func (d Duration) MarshalJSON() ([]byte, error) {
-	if !d.isExact() {
+	if !d.isWholeNanoseconds() {
 		return json.Marshal(float64(d))
 	}
 	return json.Marshal(d.String())
@@ -61,7 +68,8 @@
 
 var durationType = reflect.TypeFor[Duration]()
 
-// setDuration sets a Duration from a string with a unit or a number of seconds and reports whether the literal is valid.
+// setDuration sets target, a Duration, to the value of a literal. It reports whether the literal is a string
+// with a unit or a number of seconds.
 func setDuration(literal hujson.Literal, target reflect.Value) bool {
 	if literal.Kind() != '"' {
 		return setNumber(literal, target)
--- a/internal/config/emulator.go
+++ b/internal/config/emulator.go
@@ -2,31 +2,32 @@
 
 import "time"
 
-// Emulator configures the emulated nodes and the inventory of the commands up, emulate and scenario. A scheduler does not read it; package
-// labconfig derives from it what the emulator needs.
+// Emulator is the configuration of the emulated nodes and the emulated inventory of the commands up, emulate
+// and scenario. Schedulers do not use it. Package labconfig derives the configuration of the emulator from it.
 type Emulator struct {
-	Nodes               int      `json:"nodes"`
-	Racks               int      `json:"racks"`
-	Zones               int      `json:"zones"`
-	ReportDelay         Duration `json:"reportDelay"`         // after which the inventory shows a report
-	UnresponsiveAfter   Duration `json:"unresponsiveAfter"`   // without a report, a node is shown as not ready
-	RemoveAfter         Duration `json:"removeAfter"`         // without a report, a node is removed; 0 for never
-	DecisionDelayMin    Duration `json:"decisionDelayMin"`    // of a node on a request
-	DecisionDelayMax    Duration `json:"decisionDelayMax"`    //
-	MaxQueued           int      `json:"maxQueued"`           // requests at a node
-	MaxConcurrentStarts int      `json:"maxConcurrentStarts"` // of tasks on a node
-	StartDuration       Duration `json:"startDuration"`       // of a start with the program cached, on a warm node
-	UncachedStartFactor float64  `json:"uncachedStartFactor"` // on StartDuration without the program cached
-	ProgramCacheSize    int      `json:"programCacheSize"`    // programs cached on a node
-	UsageMin            float64  `json:"usageMin"`            // fraction of its request that a task uses
-	UsageMax            float64  `json:"usageMax"`
-	MeanLifetime        Duration `json:"meanLifetime"` // of tasks whose class has no mean lifetime
-	DrainGrace          Duration `json:"drainGrace"`   // after which a draining node terminates its tasks; below 0 for never
-	Seed                uint64   `json:"seed"`
+	Nodes               int      `json:"nodes"`               // number of emulated nodes
+	Racks               int      `json:"racks"`               // number of racks over which the nodes are distributed
+	Zones               int      `json:"zones"`               // number of topology zones over which the nodes are distributed
+	ReportDelay         Duration `json:"reportDelay"`         // time after which the inventory shows a report of a node
+	UnresponsiveAfter   Duration `json:"unresponsiveAfter"`   // time without a report after which the inventory shows a node as not ready
+	RemoveAfter         Duration `json:"removeAfter"`         // time without a report after which the inventory removes a node; 0 means never
+	DecisionDelayMin    Duration `json:"decisionDelayMin"`    // minimum time that a node takes to decide on a request
+	DecisionDelayMax    Duration `json:"decisionDelayMax"`    // maximum time that a node takes to decide on a request
+	MaxQueued           int      `json:"maxQueued"`           // maximum number of requests that wait for the decision of a node
+	MaxConcurrentStarts int      `json:"maxConcurrentStarts"` // maximum number of tasks that a node starts at the same time
+	StartDuration       Duration `json:"startDuration"`       // duration of a task start if the program is cached and the node is past its slow start
+	UncachedStartFactor float64  `json:"uncachedStartFactor"` // factor by which StartDuration is multiplied if the program is not cached
+	ProgramCacheSize    int      `json:"programCacheSize"`    // number of programs that a node caches in addition to those that run
+	UsageMin            float64  `json:"usageMin"`            // minimum fraction of its requested resources that a task uses
+	UsageMax            float64  `json:"usageMax"`            // maximum fraction of its requested resources that a task uses
+	MeanLifetime        Duration `json:"meanLifetime"`        // mean lifetime of tasks whose task class sets no mean lifetime
+	DrainGrace          Duration `json:"drainGrace"`          // time after which a draining node terminates its tasks; a negative value means never
+	Seed                uint64   `json:"seed"`                // seed of the random number generators of the nodes
 }
 
-// defaultEmulator returns the emulated cluster of the commands up and emulate. Its nodes equal nodesim.DefaultConfig, which this package must not
-// import; a test of package labconfig compares them.
+// defaultEmulator returns the default settings of the emulated cluster for the commands up and emulate. The
+// settings of its nodes equal those of nodesim.DefaultConfig. Package config must not import package nodesim,
+// so a test of package labconfig compares the settings.
 func defaultEmulator() Emulator {
 	return Emulator{
 		Nodes:               8,
@@ -50,24 +51,25 @@
 	}
 }
 
-func (e *Emulator) bounds() []bounds {
-	return []bounds{
-		number("emulator.nodes", float64(e.Nodes), 1, 10000),
-		number("emulator.racks", float64(e.Racks), 1, 10000),
-		number("emulator.zones", float64(e.Zones), 1, 100),
-		duration("emulator.reportDelay", e.ReportDelay, 0, 600),
-		duration("emulator.unresponsiveAfter", e.UnresponsiveAfter, 0.5, 600),
-		duration("emulator.removeAfter", e.RemoveAfter, 0, 1e6),
-		duration("emulator.decisionDelayMin", e.DecisionDelayMin, 0, 10),
-		duration("emulator.decisionDelayMax", e.DecisionDelayMax, e.DecisionDelayMin, 10),
-		number("emulator.maxQueued", float64(e.MaxQueued), 1, 1e6),
-		number("emulator.maxConcurrentStarts", float64(e.MaxConcurrentStarts), 1, 1e6),
-		duration("emulator.startDuration", e.StartDuration, 0.0001, 600),
-		number("emulator.uncachedStartFactor", e.UncachedStartFactor, 1, 1000),
-		number("emulator.programCacheSize", float64(e.ProgramCacheSize), 0, 1000),
-		number("emulator.usageMin", e.UsageMin, 0, 10),
-		number("emulator.usageMax", e.UsageMax, e.UsageMin, 10),
-		duration("emulator.meanLifetime", e.MeanLifetime, 0.01, 1e7),
-		duration("emulator.drainGrace", e.DrainGrace, -1, 3600),
+// boundedSettings returns the settings of the emulator with their bounds.
+func (e *Emulator) boundedSettings() []boundedSetting {
+	return []boundedSetting{
+		boundedNumber("emulator.nodes", float64(e.Nodes), 1, 10000),
+		boundedNumber("emulator.racks", float64(e.Racks), 1, 10000),
+		boundedNumber("emulator.zones", float64(e.Zones), 1, 100),
+		boundedDuration("emulator.reportDelay", e.ReportDelay, 0, 600),
+		boundedDuration("emulator.unresponsiveAfter", e.UnresponsiveAfter, 0.5, 600),
+		boundedDuration("emulator.removeAfter", e.RemoveAfter, 0, 1e6),
+		boundedDuration("emulator.decisionDelayMin", e.DecisionDelayMin, 0, 10),
+		boundedDuration("emulator.decisionDelayMax", e.DecisionDelayMax, e.DecisionDelayMin, 10),
+		boundedNumber("emulator.maxQueued", float64(e.MaxQueued), 1, 1e6),
+		boundedNumber("emulator.maxConcurrentStarts", float64(e.MaxConcurrentStarts), 1, 1e6),
+		boundedDuration("emulator.startDuration", e.StartDuration, 0.0001, 600),
+		boundedNumber("emulator.uncachedStartFactor", e.UncachedStartFactor, 1, 1000),
+		boundedNumber("emulator.programCacheSize", float64(e.ProgramCacheSize), 0, 1000),
+		boundedNumber("emulator.usageMin", e.UsageMin, 0, 10),
+		boundedNumber("emulator.usageMax", e.UsageMax, e.UsageMin, 10),
+		boundedDuration("emulator.meanLifetime", e.MeanLifetime, 0.01, 1e7),
+		boundedDuration("emulator.drainGrace", e.DrainGrace, -1, 3600),
 	}
 }
--- a/internal/config/errors.go
+++ b/internal/config/errors.go
@@ -6,25 +6,25 @@
 	"strings"
 )
 
-// FieldError reports a setting with an invalid value.
+// FieldError is the error for a setting with an invalid value. It contains no position in a file.
 type FieldError struct {
-	Path   string // of the setting, such as classes[1].idempotency
-	Reason string
+	Path   string // path of the setting, such as classes[1].idempotency
+	Reason string // reason why the value is invalid
 }
 
 func (e *FieldError) Error() string { return e.Path + ": " + e.Reason }
 
-// invalid returns a *FieldError.
-func invalid(path, format string, args ...any) error {
+// newFieldError returns a *FieldError with a formatted reason.
+func newFieldError(path, format string, args ...any) error {
 	return &FieldError{Path: path, Reason: fmt.Sprintf(format, args...)}
 }
 
-// Error is an error in a settings file, with its position. Line and Column count from 1; Column counts bytes.
+// Error is an error in a settings file with its position. Line and Column start at 1, and Column counts bytes.
 type Error struct {
 	File         string
 	Line, Column int
-	Path         string // of the setting, such as classes[1].idempotency; "" if the text is not valid JSON
-	FormerPath   string // the path with the former names used in the file, such as classes[1].effect; "" if there are none
+	Path         string // path of the setting, such as classes[1].idempotency; "" if the text is not valid JSON
+	FormerPath   string // path as written in the file if it contains former names, such as classes[1].effect; otherwise ""
 	Message      string
 }
 
@@ -39,26 +39,28 @@
 	return fmt.Sprintf("%s:%d:%d: %s", e.File, e.Line, e.Column, message)
 }
 
-// errorAt returns an *Error about the text at an offset.
+// errorAt returns an *Error for the setting at path, with the position of the given byte offset in the text.
 func (d *decoder) errorAt(offset int, path, format string, args ...any) error {
 	line, column := d.lineAndColumn(offset)
 	e := &Error{File: d.file, Line: line, Column: column, Path: path, Message: fmt.Sprintf(format, args...)}
-	if written := d.positions[path].written; written != path {
+	if written := d.positions[path].writtenPath; written != path {
 		e.FormerPath = written
 	}
 	return e
 }
 
-// lineAndColumn returns the position of an offset of the text. Both count from 1; the column counts bytes.
+// lineAndColumn returns the line and column of a byte offset in the text. Both numbers start at 1, and the
+// column counts bytes.
 func (d *decoder) lineAndColumn(offset int) (line, column int) {
 	offset = min(max(offset, 0), len(d.text))
 	before := string(d.text[:offset])
 	return strings.Count(before, "\n") + 1, offset - strings.LastIndexByte(before, '\n')
 }
 
-// locate turns a *FieldError into an *Error with the position of the setting in the text, or of the innermost enclosing setting that the text
+// addPosition converts a *FieldError to an *Error with the position of the setting in the text. If the text
+// does not contain the setting, the position is that of the innermost enclosing object or list that the text
 // contains. Other errors are returned unchanged.
-func (d *decoder) locate(err error) error {
+func (d *decoder) addPosition(err error) error {
 	var field *FieldError
 	if !errors.As(err, &field) {
 		return err
@@ -67,10 +69,11 @@
 	for path := field.Path; !found && path != ""; at, found = d.positions[path] {
 		path = parentPath(path)
 	}
-	return d.errorAt(at.offset, field.Path, "%s", field.Reason)
+	return d.errorAt(at.valueOffset, field.Path, "%s", field.Reason)
 }
 
-// parentPath is the path of the enclosing object or list, "" for a top-level setting.
+// parentPath returns the path of the object or list that encloses a setting. It returns "" for a top-level
+// setting.
 func parentPath(path string) string {
 	return path[:max(strings.LastIndexAny(path, ".["), 0)]
 }
--- a/internal/config/former.go
+++ b/internal/config/former.go
@@ -1,7 +1,7 @@
 package config
 
-// formerNames are the names of settings in release 0.1.
-var formerNames = Renames{
+// settingRenames contains the settings and values that have been renamed since release 0.1.
+var settingRenames = Renames{
 	Keys: []RenamedKey{
 		{"", "kinds", "nodeTypes"},
 		{"", "machines", "nodePolicy"},
--- a/internal/config/renames.go
+++ b/internal/config/renames.go
@@ -7,40 +7,42 @@
 	"github.com/tailscale/hujson"
 )
 
-// Renames are the renamed settings of a file format, and the renamed values. Files may still use the former names.
+// Renames contains the renamed settings and the renamed values of a file format. Files may still use the
+// former names.
 type Renames struct {
 	Keys   []RenamedKey
 	Values []RenamedValue
 }
 
-// RenamedKey is a renamed setting.
+// RenamedKey is the former and the current name of a renamed setting.
 type RenamedKey struct {
-	Section string // path of the enclosing object in present names, such as classes; "" at the top
-	Former  string
-	Current string
+	Section string // path of the enclosing object in current names, such as classes; "" for a top-level setting
+	Former  string // former name of the setting
+	Current string // current name of the setting
 }
 
-// RenamedValue is a renamed value of a setting.
+// RenamedValue is the former and the current form of a renamed value of a setting.
 type RenamedValue struct {
-	Path    string // of the setting in present names, such as classes.dedupDomain
-	Former  string
-	Current string
+	Path    string // path of the setting in current names, such as classes.dedupDomain
+	Former  string // former value
+	Current string // current value
 }
 
-// FormerName is the use of a former name in a file, for a setting or for its value.
+// FormerName is an occurrence of a former name in a file. It is the former name of a setting or of a value.
 type FormerName struct {
 	Line, Column int
-	Former       string // path as written in the file, or path and value
-	Current      string // the same in present names
+	Former       string // path of the setting as written in the file; for a renamed value, the path and the former value
+	Current      string // path of the setting in current names; for a renamed value, the current value
 }
 
-// String describes the replacement of the former name, with its line and column.
+// String returns a message with the position of the former name, the former name and the current name.
 func (f FormerName) String() string {
 	return fmt.Sprintf("%d:%d: %s is now %s", f.Line, f.Column, f.Former, f.Current)
 }
 
-// keyName returns the present name of a setting of a section.
-func (r *Renames) keyName(section, name string) string {
+// currentKey returns the current name of a setting in a section. A name that is not a former name is returned
+// unchanged.
+func (r *Renames) currentKey(section, name string) string {
 	for i := range r.Keys {
 		if key := &r.Keys[i]; key.Section == section && key.Former == name {
 			return key.Current
@@ -49,8 +51,9 @@
 	return name
 }
 
-// value returns the present name of a value.
-func (r *Renames) value(path, text string) string {
+// currentValue returns the current form of a value of the setting at path. A value that is not a former value
+// is returned unchanged.
+func (r *Renames) currentValue(path, text string) string {
 	for i := range r.Values {
 		if value := &r.Values[i]; value.Path == path && value.Former == text {
 			return value.Current
@@ -59,40 +62,44 @@
 	return text
 }
 
-// listIndex matches the index of an element in a path.
-var listIndex = regexp.MustCompile(`\[[0-9]+\]`)
+// listIndexPattern matches the index of a list element in a path.
+var listIndexPattern = regexp.MustCompile(`\[[0-9]+\]`)
 
-// withoutIndexes returns a path without the indexes of list elements.
-func withoutIndexes(path string) string { return listIndex.ReplaceAllString(path, "") }
+// removeListIndexes returns a path without the indexes of list elements.
+func removeListIndexes(path string) string { return listIndexPattern.ReplaceAllString(path, "") }
 
-// presentName returns the present name of a member of an object. A former name is replaced in the document and recorded.
-func (d *decoder) presentName(member *hujson.ObjectMember, path string) string {
+// replaceFormerKey returns the current name of a member of the object at path. If the member has a former
+// name, replaceFormerKey replaces the name in the document and records it. It also records the position of
+// the member.
+func (d *decoder) replaceFormerKey(member *hujson.ObjectMember, path string) string {
 	written := memberName(member)
-	name := d.renames.keyName(withoutIndexes(path), written)
+	name := d.renames.currentKey(removeListIndexes(path), written)
 	memberPath := joinPath(path, name)
-	writtenPath := joinPath(d.positions[path].written, written)
-	d.positions[memberPath] = position{offset: member.Value.StartOffset, written: writtenPath}
+	writtenPath := joinPath(d.positions[path].writtenPath, written)
+	d.positions[memberPath] = position{valueOffset: member.Value.StartOffset, writtenPath: writtenPath}
 	if name != written {
-		d.noteFormer(member.Name.StartOffset, writtenPath, memberPath)
+		d.recordFormerName(member.Name.StartOffset, writtenPath, memberPath)
 		member.Name.Value = hujson.String(name)
 	}
 	return name
 }
 
-// presentValue replaces a former name of a value in the document and records it.
-func (d *decoder) presentValue(value *hujson.Value, path string) {
+// replaceFormerValue replaces a former value of the setting at path in the document and records the former
+// value.
+func (d *decoder) replaceFormerValue(value *hujson.Value, path string) {
 	literal, ok := value.Value.(hujson.Literal)
 	if !ok || literal.Kind() != '"' {
 		return
 	}
 	written := literal.String()
-	if present := d.renames.value(withoutIndexes(path), written); present != written {
-		d.noteFormer(value.StartOffset, fmt.Sprintf("%s %q", path, written), fmt.Sprintf("%q", present))
-		value.Value = hujson.String(present)
+	if current := d.renames.currentValue(removeListIndexes(path), written); current != written {
+		d.recordFormerName(value.StartOffset, fmt.Sprintf("%s %q", path, written), fmt.Sprintf("%q", current))
+		value.Value = hujson.String(current)
 	}
 }
 
-func (d *decoder) noteFormer(offset int, former, present string) {
+// recordFormerName records the former name at the given byte offset in the text.
+func (d *decoder) recordFormerName(offset int, former, current string) {
 	line, column := d.lineAndColumn(offset)
-	d.former = append(d.former, FormerName{Line: line, Column: column, Former: former, Current: present})
+	d.formerNames = append(d.formerNames, FormerName{Line: line, Column: column, Former: former, Current: current})
 }
--- a/internal/config/validate.go
+++ b/internal/config/validate.go
@@ -11,14 +11,15 @@
 	"heathshed/placer"
 )
 
-// idempotencies are the values of Class.Idempotency.
+// idempotencies contains the permitted values of Class.Idempotency.
 var idempotencies = map[string]placer.Idempotency{
 	"idempotent":   placer.Idempotent,
 	"deduplicated": placer.IdempotentByKey,
 	"at_most_once": placer.NonIdempotent,
 }
 
-// Values of Class.DedupDomain and Class.SpreadDomain. The empty text is the same as NoDomain.
+// These constants are the values of Class.DedupDomain and Class.SpreadDomain. An empty string has the same
+// meaning as NoDomain.
 const (
 	NoDomain      = "none"
 	NodeDomain    = "node"
@@ -27,7 +28,7 @@
 	ClusterDomain = "cluster"
 )
 
-// topologyDomains are the values of Class.DedupDomain and Class.SpreadDomain.
+// topologyDomains contains the values of Class.DedupDomain and Class.SpreadDomain.
 var topologyDomains = map[string]placer.TopologyDomain{
 	"":            placer.NoDomain,
 	NoDomain:      placer.NoDomain,
@@ -37,13 +38,14 @@
 	ClusterDomain: placer.ClusterDomain,
 }
 
-// shareTolerance is the rounding error allowed in the sum of the tenants' shares.
+// shareTolerance is the permitted rounding error of the sum of the shares of all tenants.
 const shareTolerance = 0.0001
 
-// maxClassDeadline bounds Class.Deadline.
+// maxClassDeadline is the largest permitted value of Class.Deadline, in seconds.
 const maxClassDeadline Duration = 3600
 
-// Validate checks settings that were set in code or by flags. The error wraps a *FieldError.
+// Validate checks settings that were set by Go code or by command-line flags. The error wraps a *FieldError
+// for the first invalid setting.
 func (s *Settings) Validate() error {
 	if err := s.validate(); err != nil {
 		return fmt.Errorf("settings: %w", err)
@@ -60,7 +62,7 @@
 		return err
 	}
 	if len(s.Classes) == 0 {
-		return invalid("classes", "want one at least")
+		return newFieldError("classes", "want one at least")
 	}
 	nodeTypes, err := s.validateNodeTypes()
 	if err != nil {
@@ -69,86 +71,91 @@
 	if err := s.validateClasses(nodeTypes); err != nil {
 		return err
 	}
-	for _, b := range slices.Concat(s.policyBounds(), s.admissionBounds(), s.limitBounds(), s.Emulator.bounds()) {
-		if !b.hold() {
+	for _, b := range slices.Concat(s.boundedPolicySettings(), s.boundedAdmissionSettings(), s.boundedLimits(), s.Emulator.boundedSettings()) {
+		if !b.isWithinBounds() {
 			return b.error()
 		}
 	}
 	return nil
 }
 
+// validateScheduler checks the name, the addresses, the peers and the log level of the scheduler.
 func (s *Settings) validateScheduler() error {
 	if !isLabelValue(s.Name) {
-		return invalid("name", "want a label value: letters, digits, '-', '_' and '.', 63 at most")
+		return newFieldError("name", "want a label value: letters, digits, '-', '_' and '.', 63 at most")
 	}
 	for _, address := range []struct{ path, value string }{{"listen", s.Listen}, {"inventory", s.Inventory}} {
 		if addrPort, err := netip.ParseAddrPort(address.value); err != nil || !addrPort.Addr().IsLoopback() {
-			return invalid(address.path, "%q: want a loopback address and port such as 127.0.0.1:8480", address.value)
+			return newFieldError(address.path, "%q: want a loopback address and port such as 127.0.0.1:8480", address.value)
 		}
 	}
 	if s.Peers < 1 {
-		return invalid("peers", "want 1 or more")
+		return newFieldError("peers", "want 1 or more")
 	}
 	if s.Self < 0 || s.Self >= s.Peers {
-		return invalid("self", "want 0 to %d, one of the peers", s.Peers-1)
+		return newFieldError("self", "want 0 to %d, one of the peers", s.Peers-1)
 	}
 	if !slices.Contains([]string{"debug", "info", "warn", "error"}, s.LogLevel) {
-		return invalid("logLevel", "want debug, info, warn or error")
+		return newFieldError("logLevel", "want debug, info, warn or error")
 	}
 	return nil
 }
 
-// isLabelValue reports whether a text is a non-empty Kubernetes label value.
+// isLabelValue reports whether s is a valid Kubernetes label value and is not empty.
 func isLabelValue(s string) bool { return s != "" && len(validation.IsValidLabelValue(s)) == 0 }
 
+// validateTenants checks the tenants and the sum of their shares.
 func (s *Settings) validateTenants() error {
 	shares := 0.0
 	names := map[string]bool{}
 	for i, tenant := range s.Tenants {
 		path := fmt.Sprintf("tenants[%d]", i)
 		if len(validation.IsDNS1123Label(tenant.Name)) > 0 || names[tenant.Name] {
-			return invalid(path+".name", "want a namespace name, each once")
+			return newFieldError(path+".name", "want a namespace name, each once")
 		}
 		names[tenant.Name] = true
 		if !(tenant.Share >= 0) || !(tenant.Cores >= 0) {
-			return invalid(path+".share", "want 0 or more")
+			return newFieldError(path+".share", "want 0 or more")
 		}
 		if shares += tenant.Share; shares > 1+shareTolerance {
-			return invalid(path+".share", "shares add up to more than 1")
+			return newFieldError(path+".share", "shares add up to more than 1")
 		}
 	}
 	return nil
 }
 
-// validateNodeTypes also returns the permitted values of Class.NodeType, among them "" for any type.
+// validateNodeTypes checks the node types. It returns the permitted values of Class.NodeType: the names of the
+// node types, and "" for any node type.
 func (s *Settings) validateNodeTypes() (names map[string]bool, err error) {
 	if len(s.NodeTypes) == 0 {
-		return nil, invalid("nodeTypes", "want one at least")
+		return nil, newFieldError("nodeTypes", "want one at least")
 	}
 	names = map[string]bool{"": true}
 	for i, nodeType := range s.NodeTypes {
 		path := fmt.Sprintf("nodeTypes[%d]", i)
 		if !isLabelValue(nodeType.Name) || names[nodeType.Name] {
-			return nil, invalid(path+".name", "want a label value, each once")
+			return nil, newFieldError(path+".name", "want a label value, each once")
 		}
 		names[nodeType.Name] = true
 		if !(nodeType.Cores > 0) {
-			return nil, invalid(path+".cores", "want more than 0")
+			return nil, newFieldError(path+".cores", "want more than 0")
 		}
 		if !(nodeType.Memory > 0) {
-			return nil, invalid(path+".memory", "want more than 0")
+			return nil, newFieldError(path+".memory", "want more than 0")
 		}
 	}
 	return names, nil
 }
 
+// validateClasses checks the task classes and the name of the default task class. The map nodeTypes contains
+// the permitted values of Class.NodeType.
 func (s *Settings) validateClasses(nodeTypes map[string]bool) error {
 	names := map[string]bool{}
 	for i := range s.Classes {
 		class := &s.Classes[i]
 		path := fmt.Sprintf("classes[%d]", i)
 		if !isLabelValue(class.Name) || names[class.Name] {
-			return invalid(path+".name", "want a label value, each once")
+			return newFieldError(path+".name", "want a label value, each once")
 		}
 		names[class.Name] = true
 		if err := class.validateRequests(path); err != nil {
@@ -159,134 +166,139 @@
 		}
 	}
 	if !names[s.DefaultClass] {
-		return invalid("defaultClass", "%q is not among classes", s.DefaultClass)
+		return newFieldError("defaultClass", "%q is not among classes", s.DefaultClass)
 	}
 	return nil
 }
 
-// validateRequests checks the settings of a class for placement requests.
+// validateRequests checks the settings of a task class that apply to its placement requests: idempotency,
+// deduplication, latency objective and deadline.
 func (c *Class) validateRequests(path string) error {
 	if _, known := idempotencies[c.Idempotency]; !known {
-		return invalid(path+".idempotency", "%q: want idempotent, deduplicated or at_most_once", c.Idempotency)
+		return newFieldError(path+".idempotency", "%q: want idempotent, deduplicated or at_most_once", c.Idempotency)
 	}
 	deduplicated := c.Idempotency == "deduplicated"
 	if _, known := topologyDomains[c.DedupDomain]; !known || deduplicated && isNoDomain(c.DedupDomain) {
-		return invalid(path+".dedupDomain", "%q: want node, rack, zone or cluster", c.DedupDomain)
+		return newFieldError(path+".dedupDomain", "%q: want node, rack, zone or cluster", c.DedupDomain)
 	}
 	if deduplicated && !(c.DedupWindow > 0) {
-		return invalid(path+".dedupWindow", "want more than 0")
+		return newFieldError(path+".dedupWindow", "want more than 0")
 	}
 	if !(c.LatencyObjective > 0) {
-		return invalid(path+".latencyObjective", "want more than 0")
+		return newFieldError(path+".latencyObjective", "want more than 0")
 	}
 	if !(c.Deadline > 0) || c.Deadline > maxClassDeadline {
-		return invalid(path+".deadline", "want more than 0, %v at most", maxClassDeadline)
+		return newFieldError(path+".deadline", "want more than 0, %v at most", maxClassDeadline)
 	}
 	return nil
 }
 
-// validatePlacement checks the settings of a class for the choice of a node.
+// validatePlacement checks the settings of a task class that apply to the selection of a node.
 func (c *Class) validatePlacement(path string, nodeTypes map[string]bool) error {
 	if !nodeTypes[c.NodeType] {
-		return invalid(path+".nodeType", "%q is not among nodeTypes", c.NodeType)
+		return newFieldError(path+".nodeType", "%q is not among nodeTypes", c.NodeType)
 	}
 	if _, known := topologyDomains[c.SpreadDomain]; !known || c.SpreadDomain == ClusterDomain {
-		return invalid(path+".spreadDomain", "%q: want none, node, rack or zone", c.SpreadDomain)
+		return newFieldError(path+".spreadDomain", "%q: want none, node, rack or zone", c.SpreadDomain)
 	}
 	if !isNoDomain(c.SpreadDomain) && c.MaxPerDomain < 1 {
-		return invalid(path+".maxPerDomain", "want 1 or more beside spreadDomain")
+		return newFieldError(path+".maxPerDomain", "want 1 or more beside spreadDomain")
 	}
 	if !(c.SaturationThreshold > 0) {
-		return invalid(path+".saturationThreshold", "want more than 0")
+		return newFieldError(path+".saturationThreshold", "want more than 0")
 	}
 	if !(c.DegradationRange >= 0) {
-		return invalid(path+".degradationRange", "want 0 or more")
+		return newFieldError(path+".degradationRange", "want 0 or more")
 	}
 	return nil
 }
 
+// isNoDomain reports whether domain is one of the two values that mean no topology domain.
 func isNoDomain(domain string) bool { return domain == "" || domain == NoDomain }
 
-// bounds are a value with the smallest and the largest permitted one.
-type bounds struct {
-	path            string
+// boundedSetting is the value of a setting with its smallest and its largest permitted value.
+type boundedSetting struct {
+	path            string // path of the setting
 	value, min, max float64
-	isDuration      bool // in seconds
+	isDuration      bool // the value and its bounds are durations in seconds
 }
 
-// number returns the bounds of a number.
-func number(path string, value, least, greatest float64) bounds {
-	return bounds{path: path, value: value, min: least, max: greatest}
+// boundedNumber returns the boundedSetting for a number.
+func boundedNumber(path string, value, least, greatest float64) boundedSetting {
+	return boundedSetting{path: path, value: value, min: least, max: greatest}
 }
 
-// duration returns the bounds of a duration. Untyped constants are in seconds.
-func duration(path string, value, least, greatest Duration) bounds {
-	return bounds{path: path, value: value.Seconds(), min: least.Seconds(), max: greatest.Seconds(), isDuration: true}
+// boundedDuration returns the boundedSetting for a duration. Untyped constants as bounds are in seconds.
+func boundedDuration(path string, value, least, greatest Duration) boundedSetting {
+	return boundedSetting{path: path, value: value.Seconds(), min: least.Seconds(), max: greatest.Seconds(), isDuration: true}
 }
 
-// hold reports whether the value is within the bounds. NaN never is.
-func (b *bounds) hold() bool { return b.value >= b.min && b.value <= b.max }
+// isWithinBounds reports whether the value is within its bounds. It returns false for NaN.
+func (b *boundedSetting) isWithinBounds() bool { return b.value >= b.min && b.value <= b.max }
 
-// error returns the *FieldError of a value out of bounds.
-func (b *bounds) error() error {
+// error returns the *FieldError for a value that is not within its bounds.
+func (b *boundedSetting) error() error {
 	if b.isDuration {
-		return invalid(b.path, "%v: want %v to %v", Duration(b.value), Duration(b.min), Duration(b.max))
+		return newFieldError(b.path, "%v: want %v to %v", Duration(b.value), Duration(b.min), Duration(b.max))
 	}
-	return invalid(b.path, "%v: want %v to %v", b.value, b.min, b.max)
+	return newFieldError(b.path, "%v: want %v to %v", b.value, b.min, b.max)
 }
 
-func (s *Settings) policyBounds() []bounds {
-	return []bounds{
-		number("nodePolicy.overcommitCores", s.NodePolicy.OvercommitCores, 0.1, 100),
-		number("nodePolicy.overcommitMemory", s.NodePolicy.OvercommitMemory, 0.1, 100),
-		number("nodePolicy.maxAttempts", float64(s.NodePolicy.MaxAttempts), 1, 100),
-		duration("timing.answerGrace", s.Timing.AnswerGrace, 0.01, 10),
-		duration("timing.drainGrace", s.Timing.DrainGrace, 0, 60),
-		number("timing.warmupMinPace", s.Timing.WarmupMinPace, 0, 1),
-		duration("timing.warmupDuration", s.Timing.WarmupDuration, 0, 3600),
-		number("timing.overloadMultiple", s.Timing.OverloadMultiple, 0, 1e6),
-		duration("timing.overloadWindow", s.Timing.OverloadWindow, 0, 60),
-		number("timing.warmupAttempts", s.Timing.WarmupAttempts, 0, 1e6),
-		number("costs.node", s.Costs.Node, 0, 100),
-		number("costs.crossZone", s.Costs.CrossZone, 0, 100),
-		number("costs.migration", s.Costs.Migration, 0, 100),
-		duration("retry.delay", s.Retry.Delay, 1, 3600),
-		duration("retry.shortDelay", s.Retry.ShortDelay, 0, 3600),
-		number("retry.multiplier", s.Retry.Multiplier, 1, 10),
-		duration("retry.maxDelay", s.Retry.MaxDelay, 1, 3600),
-		duration("retry.unknownOutcomeTimeout", s.Retry.UnknownOutcomeTimeout, 0, 600),
+// boundedPolicySettings returns the settings of NodePolicy, Timing, Costs and Retry with their bounds.
+func (s *Settings) boundedPolicySettings() []boundedSetting {
+	return []boundedSetting{
+		boundedNumber("nodePolicy.overcommitCores", s.NodePolicy.OvercommitCores, 0.1, 100),
+		boundedNumber("nodePolicy.overcommitMemory", s.NodePolicy.OvercommitMemory, 0.1, 100),
+		boundedNumber("nodePolicy.maxAttempts", float64(s.NodePolicy.MaxAttempts), 1, 100),
+		boundedDuration("timing.answerGrace", s.Timing.AnswerGrace, 0.01, 10),
+		boundedDuration("timing.drainGrace", s.Timing.DrainGrace, 0, 60),
+		boundedNumber("timing.warmupMinPace", s.Timing.WarmupMinPace, 0, 1),
+		boundedDuration("timing.warmupDuration", s.Timing.WarmupDuration, 0, 3600),
+		boundedNumber("timing.overloadMultiple", s.Timing.OverloadMultiple, 0, 1e6),
+		boundedDuration("timing.overloadWindow", s.Timing.OverloadWindow, 0, 60),
+		boundedNumber("timing.warmupAttempts", s.Timing.WarmupAttempts, 0, 1e6),
+		boundedNumber("costs.node", s.Costs.Node, 0, 100),
+		boundedNumber("costs.crossZone", s.Costs.CrossZone, 0, 100),
+		boundedNumber("costs.migration", s.Costs.Migration, 0, 100),
+		boundedDuration("retry.delay", s.Retry.Delay, 1, 3600),
+		boundedDuration("retry.shortDelay", s.Retry.ShortDelay, 0, 3600),
+		boundedNumber("retry.multiplier", s.Retry.Multiplier, 1, 10),
+		boundedDuration("retry.maxDelay", s.Retry.MaxDelay, 1, 3600),
+		boundedDuration("retry.unknownOutcomeTimeout", s.Retry.UnknownOutcomeTimeout, 0, 600),
 	}
 }
 
-func (s *Settings) admissionBounds() []bounds {
+// boundedAdmissionSettings returns the settings of Admission with their bounds.
+func (s *Settings) boundedAdmissionSettings() []boundedSetting {
 	a := &s.Admission
-	return []bounds{
-		number("admission.minInFlight", a.MinInFlight, 1, a.MaxInFlight),
-		number("admission.maxInFlight", a.MaxInFlight, 1, 1e9),
-		number("admission.initialInFlight", a.InitialInFlight, 1, 1e9),
-		number("admission.decreaseFactor", a.DecreaseFactor, 0.01, 0.99),
-		duration("admission.decreaseInterval", a.DecreaseInterval, 0, 60),
-		number("admission.lateFraction", a.LateFraction, 0, 1),
-		number("admission.maxQueued", float64(a.MaxQueued), 1, 1e9),
-		number("admission.retryRatio", a.RetryRatio, 0, 100),
-		number("admission.retryRate", a.RetryRate, 0, 1e9),
-		number("admission.retryBurst", a.RetryBurst, 0, 1e9),
+	return []boundedSetting{
+		boundedNumber("admission.minInFlight", a.MinInFlight, 1, a.MaxInFlight),
+		boundedNumber("admission.maxInFlight", a.MaxInFlight, 1, 1e9),
+		boundedNumber("admission.initialInFlight", a.InitialInFlight, 1, 1e9),
+		boundedNumber("admission.decreaseFactor", a.DecreaseFactor, 0.01, 0.99),
+		boundedDuration("admission.decreaseInterval", a.DecreaseInterval, 0, 60),
+		boundedNumber("admission.lateFraction", a.LateFraction, 0, 1),
+		boundedNumber("admission.maxQueued", float64(a.MaxQueued), 1, 1e9),
+		boundedNumber("admission.retryRatio", a.RetryRatio, 0, 100),
+		boundedNumber("admission.retryRate", a.RetryRate, 0, 1e9),
+		boundedNumber("admission.retryBurst", a.RetryBurst, 0, 1e9),
 	}
 }
 
-func (s *Settings) limitBounds() []bounds {
+// boundedLimits returns the settings of Limits and the top-level timeouts with their bounds.
+func (s *Settings) boundedLimits() []boundedSetting {
 	l := &s.Limits
-	return []bounds{
-		number("limits.memoryMiB", float64(l.MemoryMiB), memquota.MinMemory>>20, 1<<20),
-		number("limits.connections", float64(l.Connections), 1, 1e6),
-		number("limits.maxBodyBytes", float64(l.MaxBodyBytes), 1024, 1<<30),
-		number("limits.maxPods", float64(l.MaxPods), 1, 1e7),
-		number("limits.history", float64(l.History), 1, 1e7),
-		number("limits.maxPage", float64(l.MaxPage), 0, 1e7),
-		duration("limits.finishedTTL", l.FinishedTTL, 0, 1e9),
-		duration("limits.nodeLossTimeout", l.NodeLossTimeout, 0.1, 3600),
-		duration("nodeSyncTimeout", s.NodeSyncTimeout, 0, 600),
-		duration("connectTimeout", s.ConnectTimeout, 0.01, 60),
-		duration("shutdownTimeout", s.ShutdownTimeout, 0, 3600),
+	return []boundedSetting{
+		boundedNumber("limits.memoryMiB", float64(l.MemoryMiB), memquota.MinMemory>>20, 1<<20),
+		boundedNumber("limits.connections", float64(l.Connections), 1, 1e6),
+		boundedNumber("limits.maxBodyBytes", float64(l.MaxBodyBytes), 1024, 1<<30),
+		boundedNumber("limits.maxPods", float64(l.MaxPods), 1, 1e7),
+		boundedNumber("limits.history", float64(l.History), 1, 1e7),
+		boundedNumber("limits.maxPage", float64(l.MaxPage), 0, 1e7),
+		boundedDuration("limits.finishedTTL", l.FinishedTTL, 0, 1e9),
+		boundedDuration("limits.nodeLossTimeout", l.NodeLossTimeout, 0.1, 3600),
+		boundedDuration("nodeSyncTimeout", s.NodeSyncTimeout, 0, 600),
+		boundedDuration("connectTimeout", s.ConnectTimeout, 0.01, 60),
+		boundedDuration("shutdownTimeout", s.ShutdownTimeout, 0, 3600),
 	}
 }
