--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -167,8 +167,8 @@
 	return parseDocument(file, text)
 }
 
-// Parse decodes settings from text and checks them. A setting that is absent from the text has its default.
-// Errors are of type *Error and contain the argument file as the name of the file.
+// Parse decodes settings from text and checks them, like Load. A setting that is absent from the text has its
+// default. Errors are of type *Error and contain the argument file as the name of the file.
 func Parse(file string, text []byte) (Settings, error) {
 	document, err := parseDocument(file, text)
 	return document.Settings, err
--- a/internal/config/duration_test.go
+++ b/internal/config/duration_test.go
@@ -28,7 +28,7 @@
 		{"zero string", `"0s"`, 0, `"0s"`},
 		{"number of whole milliseconds", `0.002`, 0.002, `"2ms"`},
 		{"number of whole seconds", `15`, 15, `"15s"`},
-		{"number that is no whole number of nanoseconds", `0.3333333333333333`, 0.3333333333333333, `0.3333333333333333`},
+		{"number that is not a whole number of nanoseconds", `0.3333333333333333`, 0.3333333333333333, `0.3333333333333333`},
 		{"number of less than a nanosecond", `1e-10`, 1e-10, `1e-10`},
 		{"number beyond the range of time.Duration", `1e+300`, 1e300, `1e+300`},
 	} {
--- a/internal/config/validate.go
+++ b/internal/config/validate.go
@@ -82,7 +82,7 @@
 // validateScheduler checks the name, the addresses, the peers and the log level of the scheduler.
 func (s *Settings) validateScheduler() error {
 	if !isLabelValue(s.Name) {
-		return newFieldError("name", "want a label value: letters, digits, '-', '_' and '.', 63 at most")
+		return newFieldError("name", "want a Kubernetes label value of at most 63 letters, digits, '-', '_' and '.'")
 	}
 	for _, address := range []struct{ path, value string }{{"listen", s.Listen}, {"inventory", s.Inventory}} {
 		if addrPort, err := netip.ParseAddrPort(address.value); err != nil || !addrPort.Addr().IsLoopback() {
