--- a/internal/platform/dispatch/load_report.go
+++ b/internal/platform/dispatch/load_report.go
@@ -18,7 +18,7 @@
 	if text == "" {
 		return nil
 	}
-	report := simconfig.NoReport()
+	report := simconfig.EmptyReport()
 	hasField := false
 	for part := range strings.SplitSeq(text, ";") {
 		name, value, _ := strings.Cut(part, ":")
--- a/internal/platform/dispatch/node_registry.go
+++ b/internal/platform/dispatch/node_registry.go
@@ -173,7 +173,7 @@
 		node = &Node{ID: id, UID: entry.UID, State: placer.Terminated, runningAttempts: map[*Attempt]struct{}{}}
 		r.nodes[id] = node
 	}
-	node.update(entry, slices.Index(r.settings.Zones, entry.Zone), slices.Index(r.settings.NodeTypes, entry.NodeType), r.now)
+	node.update(entry, slices.Index(r.settings.ZoneNames, entry.Zone), slices.Index(r.settings.NodeTypeNames, entry.NodeType), r.now)
 	return node
 }
 
--- a/internal/platform/dispatch/request_parser.go
+++ b/internal/platform/dispatch/request_parser.go
@@ -69,7 +69,7 @@
 
 func (p *requestParser) parseClass(msg *protocol.Message) (int, error) {
 	name := msg.Get(protocol.Class)
-	class := slices.Index(p.settings.Classes, name)
+	class := slices.Index(p.settings.ClassNames, name)
 	if class < 0 {
 		return 0, invalidMessage(InvalidClass, "launch message %s: unknown task class %.40q", msg.UID, name)
 	}
@@ -80,10 +80,10 @@
 // only if the settings contain no tenants.
 func (p *requestParser) parseTenant(msg *protocol.Message) (int, error) {
 	name := msg.Get(protocol.Tenant)
-	if name == "" && len(p.settings.Tenants) == 0 {
+	if name == "" && len(p.settings.TenantNames) == 0 {
 		return 0, nil
 	}
-	tenant := slices.Index(p.settings.Tenants, name)
+	tenant := slices.Index(p.settings.TenantNames, name)
 	if tenant < 0 {
 		return 0, invalidMessage(InvalidTenant, "launch message %s: unknown tenant %.40q", msg.UID, name)
 	}
--- a/internal/platform/server/settings_test.go
+++ b/internal/platform/server/settings_test.go
@@ -111,7 +111,7 @@
 			}
 			server := runServer(t, config, policy)
 			client := server.connectAndCheck()
-			for i, class := range config.Settings.Classes {
+			for i, class := range config.Settings.ClassNames {
 				sentAt := time.Now()
 				client.send(launchOfClass(t, config, i))
 				answer := client.expectMessage(fmt.Sprintf("%016x", i+1))
@@ -131,13 +131,13 @@
 // launchOfClass returns a launch message for a task of the task class with the given index in the settings.
 func launchOfClass(t *testing.T, config *Config, index int) string {
 	t.Helper()
-	launch := strings.Replace(launchMessage(index+1, "query", `"x"`), `"query"`, encodeJSONString(t, config.Settings.Classes[index]), 1)
+	launch := strings.Replace(launchMessage(index+1, "query", `"x"`), `"query"`, encodeJSONString(t, config.Settings.ClassNames[index]), 1)
 	timeLeftMS := int(min(3, config.Settings.Placer.Classes[index].Deadline) * 1000)
 	launch = strings.Replace(launch, `"left":"3000"`, fmt.Sprintf(`"left":"%d"`, timeLeftMS), 1)
-	if len(config.Settings.Tenants) == 0 {
+	if len(config.Settings.TenantNames) == 0 {
 		return strings.Replace(launch, `"tenant":"south",`, "", 1)
 	}
-	return strings.Replace(launch, `"south"`, encodeJSONString(t, config.Settings.Tenants[0]), 1)
+	return strings.Replace(launch, `"south"`, encodeJSONString(t, config.Settings.TenantNames[0]), 1)
 }
 
 func encodeJSONString(t *testing.T, text string) string {
--- a/internal/simbridge/simadapter/equivalence_drivers_test.go
+++ b/internal/simbridge/simadapter/equivalence_drivers_test.go
@@ -137,7 +137,7 @@
 	if event.Code == 0 {
 		event.Code = simproto.EventAttemptEnded
 	}
-	event.ID, event.Attempt, event.Node = id, uint8(started.Attempt), simproto.NodeAddress(started.Node)
+	event.TaskID, event.Attempt, event.Node = id, uint8(started.Attempt), simproto.NodeAddress(started.Node)
 	event.Elapsed = drivers.attempts[id].Age(drivers.now)
 	return event
 }
@@ -160,7 +160,7 @@
 	if err != nil {
 		drivers.t.Fatal(err)
 	}
-	drivers.sendToAdapter(simproto.Event{Code: simproto.EventTaskArrived, ID: id, Class: class, Tenant: 1, Service: number,
+	drivers.sendToAdapter(simproto.Event{Code: simproto.EventTaskArrived, TaskID: id, Class: class, Tenant: 1, Service: number,
 		Cores: 1.5, Memory: 2, Deadline: drivers.now + 4})
 	drivers.compare("launch")
 }
--- a/internal/simbridge/simadapter/equivalence_test.go
+++ b/internal/simbridge/simadapter/equivalence_test.go
@@ -73,7 +73,7 @@
 	drivers.sendToAdapter(usage)
 	if ends {
 		drivers.sendFromNode(id, with(stop(16), protocol.LoadReport, "x1:3;utilization:0.5"))
-		drivers.sendToAdapter(drivers.attemptEvent(id, simproto.Event{Final: 1, Load: []float32{3, 0.5}}))
+		drivers.sendToAdapter(drivers.attemptEvent(id, simproto.Event{Final: 1, LoadValues: []float32{3, 0.5}}))
 	}
 }
 
@@ -82,7 +82,7 @@
 	outcomes := map[int]func(id uint64) simproto.Event{
 		3: func(id uint64) simproto.Event {
 			drivers.sendFromNode(id, with(with(stop(34), protocol.Note, "mem_full"), protocol.LoadReport, "x1:0.25;utilization:1"))
-			return simproto.Event{Status: wireRejected, Reason: 2, Load: []float32{0.25, 1}}
+			return simproto.Event{Status: wireRejected, Reason: 2, LoadValues: []float32{0.25, 1}}
 		},
 		4: func(id uint64) simproto.Event {
 			drivers.sendFromNode(id, stop(47))
@@ -96,7 +96,7 @@
 			message := stop(16)
 			message.ID, message.UID = protocol.ID(id), fmt.Sprintf("%016x", id)
 			drivers.sendFromClient(message)
-			drivers.sendToAdapter(simproto.Event{Code: simproto.EventTaskWithdrawn, ID: id})
+			drivers.sendToAdapter(simproto.Event{Code: simproto.EventTaskWithdrawn, TaskID: id})
 			return simproto.Event{Status: wireCancelled, Final: 1}
 		},
 	}
--- a/internal/simbridge/simadapter/simadapter.go
+++ b/internal/simbridge/simadapter/simadapter.go
@@ -19,7 +19,7 @@
 // adapter owns the scheduler instances of a run and the node lists that the simulator has defined.
 type adapter struct {
 	instances map[uint32]*instance
-	lists     [simproto.MaxLists][]placer.Node
+	lists     [simproto.MaxNodeLists][]placer.Node
 	writer    simproto.Writer
 	actions   []placer.Action // reused for each event
 	warnings  io.Writer
@@ -52,7 +52,7 @@
 func (a *adapter) handleBatch(reader *simproto.Reader, batch simproto.Batch) error {
 	var record simproto.Event
 	a.writer.Start(batch.Number)
-	for i := range batch.Count {
+	for i := range batch.RecordCount {
 		if err := reader.Read(&record); err != nil {
 			return fmt.Errorf("batch %d, record %d: %w", batch.Number, i, err)
 		}
@@ -60,8 +60,8 @@
 			return fmt.Errorf("batch %d, record %d: %w", batch.Number, i, err)
 		}
 	}
-	if reader.Remaining() != 0 {
-		return fmt.Errorf("batch %d: %d bytes follow the last record", batch.Number, reader.Remaining())
+	if reader.RemainingBytes() != 0 {
+		return fmt.Errorf("batch %d: %d bytes follow the last record", batch.Number, reader.RemainingBytes())
 	}
 	return nil
 }
--- a/internal/simbridge/simadapter/simadapter_test.go
+++ b/internal/simbridge/simadapter/simadapter_test.go
@@ -109,7 +109,7 @@
 	}
 }
 
-func TestSettings(t *testing.T) {
+func TestSettingsConfigureThePlacer(t *testing.T) {
 	settings, err := simconfig.Parse([]byte(testSettings))
 	if err != nil {
 		t.Fatal(err)
--- a/internal/simbridge/simadapter/translate.go
+++ b/internal/simbridge/simadapter/translate.go
@@ -10,8 +10,8 @@
 
 // translate returns the event for the placer. It returns false for events that the placer does not use, which are the
 // results of health checks and messages of peers.
-func (in *instance) translate(record *simproto.Event, lists *[simproto.MaxLists][]placer.Node) (placer.Event, bool, error) {
-	event := placer.Event{TaskID: placer.TaskID(record.ID), Node: placer.NodeID(record.Node), Attempt: int(record.Attempt)}
+func (in *instance) translate(record *simproto.Event, lists *[simproto.MaxNodeLists][]placer.Node) (placer.Event, bool, error) {
+	event := placer.Event{TaskID: placer.TaskID(record.TaskID), Node: placer.NodeID(record.Node), Attempt: int(record.Attempt)}
 	var err error
 	switch record.Code {
 	case simproto.EventNodesListed:
@@ -29,7 +29,7 @@
 		event.Kind, event.Elapsed, event.Final = placer.Ended, record.Elapsed, record.Final != 0
 		event.Reason = placer.Reason(record.Reason)
 		event.Result, err = translateStatus(record.Status)
-		event.Report = in.parseReport(record.Load)
+		event.Report = in.parseReport(record.LoadValues)
 	case simproto.EventTaskWithdrawn:
 		event.Kind = placer.Withdrawn
 	case simproto.EventTimerFired:
@@ -41,7 +41,7 @@
 }
 
 // findList returns the kind of a node list and its nodes, or no nodes if the request for the list failed.
-func findList(record *simproto.Event, lists *[simproto.MaxLists][]placer.Node) (placer.ListKind, []placer.Node, error) {
+func findList(record *simproto.Event, lists *[simproto.MaxNodeLists][]placer.Node) (placer.ListKind, []placer.Node, error) {
 	var kind placer.ListKind
 	switch record.ListKind {
 	case simproto.ListFull:
@@ -85,7 +85,7 @@
 // translateTask returns the task of an event for the placer.
 func translateTask(record *simproto.Event) placer.Task {
 	return placer.Task{
-		ID:       placer.TaskID(record.ID),
+		ID:       placer.TaskID(record.TaskID),
 		Class:    int(record.Class),
 		Tenant:   int(record.Tenant),
 		Service:  placer.ServiceID(record.Service),
@@ -125,7 +125,7 @@
 	if len(values) == 0 {
 		return nil
 	}
-	in.report = simconfig.NoReport()
+	in.report = simconfig.EmptyReport()
 	for i, value := range values {
 		if i < len(in.reportFields) {
 			simconfig.SetReportField(&in.report, in.reportFields[i], float64(value))
--- a/internal/simbridge/simconfig/characterization_test.go
+++ b/internal/simbridge/simconfig/characterization_test.go
@@ -82,7 +82,7 @@
 		text.WriteString("6:")
 		floats(tenant.Share, tenant.Cores)
 	}
-	fmt.Fprintf(&text, "7: %q %q %q %q %q\n", settings.Classes, settings.Tenants, settings.Zones, settings.NodeTypes, settings.ReportFields)
+	fmt.Fprintf(&text, "7: %q %q %q %q %q\n", settings.ClassNames, settings.TenantNames, settings.ZoneNames, settings.NodeTypeNames, settings.ReportFields)
 	text.WriteString("8:")
 	floats(float64(settings.IdleTimeout), float64(settings.BatchInterval))
 	return text.String()
@@ -124,7 +124,7 @@
 // TestCharacterizationOfSetReportField pins which field of a report each name sets; the others stay NaN.
 func TestCharacterizationOfSetReportField(t *testing.T) {
 	for word, want := range map[string]string{"x0": "1000", "x1": "0100", "utilization": "0010", "backlog": "0001", "other": "0000"} {
-		report := simconfig.NoReport()
+		report := simconfig.EmptyReport()
 		simconfig.SetReportField(&report, word, 2.5)
 		if got := describeReport(report); got != want {
 			t.Errorf("%s sets %s, want %s", word, got, want)
--- a/internal/simbridge/simconfig/report.go
+++ b/internal/simbridge/simconfig/report.go
@@ -6,8 +6,8 @@
 	"heathshed/placer"
 )
 
-// NoReport returns a load report in which no value is set.
-func NoReport() placer.Report {
+// EmptyReport returns a load report in which no value is set.
+func EmptyReport() placer.Report {
 	none := math.NaN()
 	return placer.Report{FreeCores: none, FreeMemory: none, Utilization: none, QueueLength: none}
 }
--- a/internal/simbridge/simconfig/simconfig.go
+++ b/internal/simbridge/simconfig/simconfig.go
@@ -15,7 +15,7 @@
 	Placer placer.Config
 	// Names in the order of their numbers. Unlike with lists of values by class, the last one does not apply to further
 	// numbers: any other name is unknown.
-	Classes, Tenants, Zones, NodeTypes []string
+	ClassNames, TenantNames, ZoneNames, NodeTypeNames []string
 	// ReportFields are the names of the values of a load report, in order.
 	ReportFields []string
 	// IdleTimeout is the time after which a node closes an idle connection, or 0 if it is not known.
@@ -39,8 +39,8 @@
 	}
 	result := &Settings{
 		Placer:        parsed.placerConfig(),
-		Zones:         parsed.Zones,
-		NodeTypes:     parsed.Flavors,
+		ZoneNames:     parsed.Zones,
+		NodeTypeNames: parsed.Flavors,
 		ReportFields:  parsed.LoadReport.Fields,
 		IdleTimeout:   parsed.Permissions.ConnIdleS,
 		BatchInterval: parsed.RoundS,
@@ -51,7 +51,7 @@
 			return nil, fmt.Errorf("settings: %w", err)
 		}
 		result.Placer.Classes = append(result.Placer.Classes, class)
-		result.Classes = append(result.Classes, parsed.Lanes[i].Name)
+		result.ClassNames = append(result.ClassNames, parsed.Lanes[i].Name)
 	}
 	var err error
 	if result.Placer.NodeTypes, err = parsed.nodeTypes(); err != nil {
@@ -60,7 +60,7 @@
 	for i, org := range parsed.Orgs {
 		tenant := placer.Tenant{Share: org.Share, Cores: valueOrLast(parsed.Extra.QuotaCores, i, 0)}
 		result.Placer.Tenants = append(result.Placer.Tenants, tenant)
-		result.Tenants = append(result.Tenants, org.Name)
+		result.TenantNames = append(result.TenantNames, org.Name)
 	}
 	return result, nil
 }
--- a/internal/simbridge/simproto/characterization_test.go
+++ b/internal/simbridge/simproto/characterization_test.go
@@ -55,18 +55,18 @@
 func describe(event *simproto.Event) string {
 	var text strings.Builder
 	bits := func(value placer.Seconds) uint64 { return math.Float64bits(float64(value)) }
-	fmt.Fprintf(&text, "%d %d %d %d %d %d %d %d", event.Code, event.Instance, event.ID, event.IdempotencyKey, event.Service,
+	fmt.Fprintf(&text, "%d %d %d %d %d %d %d %d", event.Code, event.Instance, event.TaskID, event.IdempotencyKey, event.Service,
 		uint64(event.Node), event.Class, event.Tenant)
 	fmt.Fprintf(&text, " %x %x %x %x", bits(event.Deadline), bits(event.Lifetime), math.Float32bits(event.Cores),
 		math.Float32bits(event.Memory))
 	fmt.Fprintf(&text, " %d %d %x %d %d %d", event.Flags, event.Attempt, bits(event.Elapsed), event.Reason, event.Final, event.Status)
-	fmt.Fprintf(&text, " load%d", len(event.Load))
-	for _, value := range event.Load {
+	fmt.Fprintf(&text, " load%d", len(event.LoadValues))
+	for _, value := range event.LoadValues {
 		fmt.Fprintf(&text, " %x", math.Float32bits(value))
 	}
 	fmt.Fprintf(&text, " %d %x %d %d %d %d", event.UsageKind, math.Float32bits(event.Value), event.Token, event.ListKind,
 		event.ListNumber, event.ListVersion)
-	fmt.Fprintf(&text, " %d [%x] %d [%x] list%d", event.Seed, event.Settings, event.From, event.Body, len(event.Entries))
+	fmt.Fprintf(&text, " %d [%x] %d [%x] list%d", event.Seed, event.Settings, event.SenderPeer, event.MessageBody, len(event.Entries))
 	for _, entry := range event.Entries {
 		fmt.Fprintf(&text, " (%d %d %d %x %d %x %d %x %x)", uint64(entry.Node), entry.Zone, entry.NodeType,
 			math.Float32bits(entry.FreeCores), entry.Rack, math.Float32bits(entry.FreeMemory), entry.State,
@@ -84,13 +84,13 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		fmt.Fprintf(&text, "batch %d %d %x rest %d\n", batch.Number, batch.Count, math.Float64bits(float64(batch.Now)), reader.Remaining())
-		for range batch.Count {
+		fmt.Fprintf(&text, "batch %d %d %x rest %d\n", batch.Number, batch.RecordCount, math.Float64bits(float64(batch.Now)), reader.RemainingBytes())
+		for range batch.RecordCount {
 			var event simproto.Event
 			if err := reader.Read(&event); err != nil {
 				t.Fatal(err)
 			}
-			fmt.Fprintf(&text, "%s rest %d\n", describe(&event), reader.Remaining())
+			fmt.Fprintf(&text, "%s rest %d\n", describe(&event), reader.RemainingBytes())
 		}
 	}
 	goldentest.CheckText(t, "events", text.String())
@@ -103,7 +103,7 @@
 	if err != nil {
 		return -1, true
 	}
-	for range batch.Count {
+	for range batch.RecordCount {
 		var event simproto.Event
 		if reader.Read(&event) != nil {
 			return count, true
@@ -168,7 +168,7 @@
 		func() { writer.WatchNodes(5) },
 		func() { writer.ListNodes(5) },
 		func() { writer.Migrate(5, 1001) },
-		func() { writer.Abort(5, 1001, 2) },
+		func() { writer.AbortAttempt(5, 1001, 2) },
 		func() { writer.Log(5, "ab") },
 		func() { writer.ReportPanic(5, "cd") },
 		func() { writer.ReportPanic(5, "") },
--- a/internal/simbridge/simproto/reader.go
+++ b/internal/simbridge/simproto/reader.go
@@ -43,9 +43,9 @@
 		return Batch{}, fmt.Errorf("simproto: batch header: %w", err)
 	}
 	batch := Batch{
-		Number: binary.LittleEndian.Uint32(r.header[0:]),
-		Count:  binary.LittleEndian.Uint32(r.header[8:]),
-		Now:    placer.Seconds(math.Float64frombits(binary.LittleEndian.Uint64(r.header[12:]))),
+		Number:      binary.LittleEndian.Uint32(r.header[0:]),
+		RecordCount: binary.LittleEndian.Uint32(r.header[8:]),
+		Now:         placer.Seconds(math.Float64frombits(binary.LittleEndian.Uint64(r.header[12:]))),
 	}
 	length := binary.LittleEndian.Uint32(r.header[4:])
 	if length < headerBytes-uncountedBytes {
@@ -55,8 +55,8 @@
 		return batch, fmt.Errorf("simproto: batch %d: clock %v", batch.Number, batch.Now)
 	}
 	size := int(length) - (headerBytes - uncountedBytes)
-	if uint64(batch.Count)*minRecordBytes > uint64(size) {
-		return batch, fmt.Errorf("simproto: batch %d: %d records do not fit in %d bytes", batch.Number, batch.Count, size)
+	if uint64(batch.RecordCount)*minRecordBytes > uint64(size) {
+		return batch, fmt.Errorf("simproto: batch %d: %d records do not fit in %d bytes", batch.Number, batch.RecordCount, size)
 	}
 	if err := r.readBody(size); err != nil {
 		return batch, fmt.Errorf("simproto: batch %d: body ends early: %w", batch.Number, err)
@@ -84,8 +84,8 @@
 	return nil
 }
 
-// Remaining returns the number of unread bytes of the batch.
-func (r *Reader) Remaining() int { return len(r.body) - r.offset }
+// RemainingBytes returns the number of unread bytes of the current batch.
+func (r *Reader) RemainingBytes() int { return len(r.body) - r.offset }
 
 // Read reads the next record of the batch into event. After an error the batch cannot be read further.
 func (r *Reader) Read(event *Event) error {
@@ -96,8 +96,8 @@
 	if event.Code == EventDefineList {
 		event.ListNumber = r.u8()
 		event.Entries = r.list()
-		if r.err == nil && event.ListNumber >= MaxLists {
-			r.err = fmt.Errorf("simproto: list number %d at byte %d is over %d", event.ListNumber, start, MaxLists-1)
+		if r.err == nil && event.ListNumber >= MaxNodeLists {
+			r.err = fmt.Errorf("simproto: list number %d at byte %d is over %d", event.ListNumber, start, MaxNodeLists-1)
 		}
 		return r.err
 	}
@@ -113,23 +113,23 @@
 func (r *Reader) readTaskEvent(event *Event) bool {
 	switch event.Code {
 	case EventTaskArrived:
-		event.ID, event.Class, event.Tenant, event.IdempotencyKey = r.u64(), r.u16(), r.u16(), r.u64()
+		event.TaskID, event.Class, event.Tenant, event.IdempotencyKey = r.u64(), r.u16(), r.u16(), r.u64()
 		event.Deadline, event.Lifetime, event.Service = r.seconds(), r.seconds(), r.u64()
 		event.Cores, event.Memory, event.Flags = r.f32(), r.f32(), TaskFlags(r.u8())
 	case EventTaskAdopted:
-		event.ID, event.Node, event.Lifetime, event.Deadline = r.u64(), r.node(), r.seconds(), r.seconds()
+		event.TaskID, event.Node, event.Lifetime, event.Deadline = r.u64(), r.node(), r.seconds(), r.seconds()
 		event.Class, event.IdempotencyKey, event.Flags = r.u16(), r.u64(), TaskFlags(r.u8())
 		event.Cores, event.Memory, event.Service, event.Tenant = r.f32(), r.f32(), r.u64(), r.u16()
 	case EventAttemptBound:
-		event.ID, event.Attempt, event.Elapsed, event.Node = r.u64(), r.u8(), r.seconds(), r.node()
+		event.TaskID, event.Attempt, event.Elapsed, event.Node = r.u64(), r.u8(), r.seconds(), r.node()
 	case EventUsageReported:
-		event.ID, event.Attempt, event.Node, event.UsageKind, event.Value = r.u64(), r.u8(), r.node(), r.u8(), r.f32()
+		event.TaskID, event.Attempt, event.Node, event.UsageKind, event.Value = r.u64(), r.u8(), r.node(), r.u8(), r.f32()
 	case EventAttemptEnded:
-		event.ID, event.Node, event.Elapsed = r.u64(), r.node(), r.seconds()
+		event.TaskID, event.Node, event.Elapsed = r.u64(), r.node(), r.seconds()
 		event.Reason, event.Attempt, event.Final, event.Status = r.u8(), r.u8(), r.u8(), Status(r.u16())
-		event.Load = r.report()
+		event.LoadValues = r.report()
 	case EventTaskWithdrawn:
-		event.ID = r.u64()
+		event.TaskID = r.u64()
 	default:
 		return false
 	}
@@ -149,10 +149,10 @@
 		event.Token = r.u64()
 	case EventHealthCheckResult:
 		event.Status, event.Node, event.Elapsed = Status(r.u16()), r.node(), r.seconds()
-		event.Load = r.report()
+		event.LoadValues = r.report()
 	case EventPeerMessage:
-		event.From = r.u32()
-		event.Body = r.bytes(int(r.u16()))
+		event.SenderPeer = r.u32()
+		event.MessageBody = r.bytes(int(r.u16()))
 	default:
 		return false
 	}
@@ -162,8 +162,8 @@
 // list reads a node list, which is valid until the next call.
 func (r *Reader) list() []NodeEntry {
 	count := r.u32()
-	if r.err == nil && uint64(count)*nodeEntryBytes > uint64(r.Remaining()) {
-		r.err = fmt.Errorf("simproto: list of %d entries does not fit in %d bytes", count, r.Remaining())
+	if r.err == nil && uint64(count)*nodeEntryBytes > uint64(r.RemainingBytes()) {
+		r.err = fmt.Errorf("simproto: list of %d entries does not fit in %d bytes", count, r.RemainingBytes())
 		return nil
 	}
 	r.entries = r.entries[:0]
@@ -199,8 +199,8 @@
 	if r.err != nil {
 		return nil
 	}
-	if count < 0 || count > r.Remaining() {
-		r.err = fmt.Errorf("simproto: record of code %d: wants %d bytes at %d, %d are left", r.code, count, r.offset, r.Remaining())
+	if count < 0 || count > r.RemainingBytes() {
+		r.err = fmt.Errorf("simproto: record of code %d: wants %d bytes at %d, %d are left", r.code, count, r.offset, r.RemainingBytes())
 		return nil
 	}
 	start := r.offset
--- a/internal/simbridge/simproto/simproto.go
+++ b/internal/simbridge/simproto/simproto.go
@@ -91,8 +91,8 @@
 // IsRetry reports whether the client requested the task before.
 func (f TaskFlags) IsRetry() bool { return f&retryFlags != 0 }
 
-// MaxLists is the number of node lists that may be defined, numbered from 0.
-const MaxLists = 16
+// MaxNodeLists is the number of node lists that may be defined, numbered from 0.
+const MaxNodeLists = 16
 
 // NodeAddress is a node's address of six bytes, packed into an integer. It is written as it was read.
 type NodeAddress uint64
@@ -111,35 +111,35 @@
 
 // Event is one event record. Which fields are set depends on Code. Slices are valid until the next Read.
 type Event struct {
-	Code                        EventCode
-	Instance                    uint32
-	ID, IdempotencyKey, Service uint64
-	Node                        NodeAddress
-	Class, Tenant               uint16
-	Deadline, Lifetime          placer.Seconds
-	Cores, Memory               float32
-	Flags                       TaskFlags
-	Attempt                     uint8
-	Elapsed                     placer.Seconds
-	Reason, Final               uint8
-	Status                      Status
-	Load                        []float32
-	UsageKind                   uint8
-	Value                       float32
-	Token                       uint64
-	ListKind                    ListKind
-	ListNumber                  uint8
-	ListVersion                 uint32
-	Seed                        uint64
-	Settings                    []byte
-	Entries                     []NodeEntry
-	From                        uint32
-	Body                        []byte
+	Code                            EventCode
+	Instance                        uint32
+	TaskID, IdempotencyKey, Service uint64
+	Node                            NodeAddress
+	Class, Tenant                   uint16
+	Deadline, Lifetime              placer.Seconds
+	Cores, Memory                   float32
+	Flags                           TaskFlags
+	Attempt                         uint8
+	Elapsed                         placer.Seconds
+	Reason, Final                   uint8
+	Status                          Status
+	LoadValues                      []float32
+	UsageKind                       uint8
+	Value                           float32
+	Token                           uint64
+	ListKind                        ListKind
+	ListNumber                      uint8
+	ListVersion                     uint32
+	Seed                            uint64
+	Settings                        []byte
+	Entries                         []NodeEntry
+	SenderPeer                      uint32
+	MessageBody                     []byte
 }
 
 // Batch is the header of a batch of events.
 type Batch struct {
-	Number uint32
-	Count  uint32         // records that follow
-	Now    placer.Seconds // the time of all events of the batch
+	Number      uint32
+	RecordCount uint32         // records that follow
+	Now         placer.Seconds // the time of all events of the batch
 }
--- a/internal/simbridge/simproto/simproto_test.go
+++ b/internal/simbridge/simproto/simproto_test.go
@@ -39,7 +39,7 @@
 	}
 	reader := NewReader(bytes.NewReader(simwire.Batch(7, 100.5, records...)))
 	batch, err := reader.Next()
-	if err != nil || batch.Number != 7 || batch.Now != 100.5 || batch.Count != 13 {
+	if err != nil || batch.Number != 7 || batch.Now != 100.5 || batch.RecordCount != 13 {
 		t.Fatalf("batch %+v, %v", batch, err)
 	}
 	node := packed(addr)
@@ -47,17 +47,17 @@
 		{Code: EventDefineList, ListNumber: 3, Entries: []NodeEntry{{node, 1, 0, 2.5, 9, -4, 2, 1, 77.5}}},
 		{Code: EventNodesListed, Instance: 5, ListKind: 4, ListVersion: 41, ListNumber: 3},
 		{Code: EventInstanceStart, Instance: 5, Seed: 99, Settings: []byte("{}")},
-		{Code: EventTaskArrived, Instance: 5, ID: 1001, Class: 1, Tenant: 2, IdempotencyKey: 8, Deadline: 12.5, Lifetime: 3.25, Service: 6,
+		{Code: EventTaskArrived, Instance: 5, TaskID: 1001, Class: 1, Tenant: 2, IdempotencyKey: 8, Deadline: 12.5, Lifetime: 3.25, Service: 6,
 			Cores: 0.5, Memory: 1.5, Flags: 17},
-		{Code: EventTaskAdopted, Instance: 5, ID: 1002, Node: node, Class: 1, Tenant: 2, IdempotencyKey: 8, Deadline: 12.5, Lifetime: 3.25, Service: 6,
+		{Code: EventTaskAdopted, Instance: 5, TaskID: 1002, Node: node, Class: 1, Tenant: 2, IdempotencyKey: 8, Deadline: 12.5, Lifetime: 3.25, Service: 6,
 			Cores: 0.5, Memory: 1.5, Flags: 16},
-		{Code: EventAttemptBound, Instance: 5, ID: 1001, Attempt: 2, Elapsed: 0.125, Node: node},
-		{Code: EventUsageReported, Instance: 5, ID: 1001, Attempt: 2, Node: node, UsageKind: 3, Value: 0.75},
-		{Code: EventAttemptEnded, Instance: 5, ID: 1001, Node: node, Elapsed: 0.125, Reason: 5, Attempt: 2, Final: 1, Status: 251,
-			Load: []float32{3, 4}},
-		{Code: EventTaskWithdrawn, Instance: 5, ID: 1001}, {Code: EventTimerFired, Instance: 5, Token: 33}, {Code: EventInstanceStop, Instance: 5},
-		{Code: EventHealthCheckResult, Instance: 5, Status: 253, Node: node, Elapsed: 0.5, Load: []float32{}},
-		{Code: EventPeerMessage, Instance: 5, From: 2, Body: []byte("abc")},
+		{Code: EventAttemptBound, Instance: 5, TaskID: 1001, Attempt: 2, Elapsed: 0.125, Node: node},
+		{Code: EventUsageReported, Instance: 5, TaskID: 1001, Attempt: 2, Node: node, UsageKind: 3, Value: 0.75},
+		{Code: EventAttemptEnded, Instance: 5, TaskID: 1001, Node: node, Elapsed: 0.125, Reason: 5, Attempt: 2, Final: 1, Status: 251,
+			LoadValues: []float32{3, 4}},
+		{Code: EventTaskWithdrawn, Instance: 5, TaskID: 1001}, {Code: EventTimerFired, Instance: 5, Token: 33}, {Code: EventInstanceStop, Instance: 5},
+		{Code: EventHealthCheckResult, Instance: 5, Status: 253, Node: node, Elapsed: 0.5, LoadValues: []float32{}},
+		{Code: EventPeerMessage, Instance: 5, SenderPeer: 2, MessageBody: []byte("abc")},
 	}
 	for i := range want {
 		var got Event
@@ -68,8 +68,8 @@
 			t.Errorf("event %d:\n got %+v\nwant %+v", i, got, want[i])
 		}
 	}
-	if reader.Remaining() != 0 {
-		t.Errorf("%d bytes left", reader.Remaining())
+	if reader.RemainingBytes() != 0 {
+		t.Errorf("%d bytes left", reader.RemainingBytes())
 	}
 	if _, err := reader.Next(); !errors.Is(err, io.EOF) {
 		t.Errorf("after the last batch: %v", err)
@@ -86,7 +86,7 @@
 	writer.WatchNodes(5)
 	writer.ListNodes(5)
 	writer.Migrate(5, 1001)
-	writer.Abort(5, 1001, 2)
+	writer.AbortAttempt(5, 1001, 2)
 	writer.Log(5, "ab")
 	writer.ReportPanic(5, "cd")
 	actions := [][]byte{
@@ -108,7 +108,7 @@
 	}
 }
 
-func TestMalformed(t *testing.T) {
+func TestMalformedBatchIsRejected(t *testing.T) {
 	good := simwire.Batch(7, 1, simwire.Record(uint8(22), uint32(5), uint64(1)))
 	change := func(at int, value uint32) []byte {
 		changed := bytes.Clone(good)
@@ -133,7 +133,7 @@
 	} {
 		reader := NewReader(bytes.NewReader(test.in))
 		batch, err := reader.Next()
-		for i := uint32(0); err == nil && i < batch.Count; i++ {
+		for i := uint32(0); err == nil && i < batch.RecordCount; i++ {
 			var event Event
 			err = reader.Read(&event)
 		}
@@ -143,7 +143,7 @@
 	}
 }
 
-func TestRetryFlags(t *testing.T) {
+func TestRetryFlagsMarkRepeatedRequests(t *testing.T) {
 	for flags, want := range map[TaskFlags]bool{0: false, 1: false, 2: true, 16: true, 18: true, 17: true, 0xED: false} {
 		if got := flags.IsRetry(); got != want {
 			t.Errorf("flags %b: got %v, want %v", flags, got, want)
--- a/internal/simbridge/simproto/writer.go
+++ b/internal/simbridge/simproto/writer.go
@@ -75,8 +75,8 @@
 	w.u64(id)
 }
 
-// Abort stops waiting for an attempt.
-func (w *Writer) Abort(instance uint32, id uint64, attempt uint8) {
+// AbortAttempt stops waiting for an attempt.
+func (w *Writer) AbortAttempt(instance uint32, id uint64, attempt uint8) {
 	w.action(ActionAbortAttempt, instance)
 	w.u64(id)
 	w.reply = append(w.reply, attempt)
