--- a/internal/simbridge/simproto/simproto.go
+++ b/internal/simbridge/simproto/simproto.go
@@ -1,21 +1,25 @@
 // Package simproto reads batches of events and writes replies in the binary protocol of the simulator. All numbers are
-// little endian, all times are floating point numbers of seconds. It only encodes and decodes: package simadapter, which
-// calls it, knows what events and actions mean. Begin reading at Reader.Next and Writer.Start.
+// little endian, and all times are floating point numbers of seconds. The package only encodes and decodes records.
+// Package simadapter, which calls it, translates the events and actions for the placer. Reader.Next and Writer.Start
+// are the entry points.
 //
-// A batch is a header, which is the batch number, the length of the rest in bytes, the number of records (each 4 bytes)
-// and the clock time (8 bytes), followed by the records. A reply is the batch number, the number of records and the
-// length of the records in bytes, followed by the records. A record begins with its code and, except for
-// EventDefineList, the number of the scheduler instance that it concerns.
+// A batch consists of a header and event records. The header has four fields: the batch number (4 bytes), the number of
+// bytes that follow this length field (4 bytes), the number of records (4 bytes) and the clock time (8 bytes).
+// A reply consists of a header and action records. The header has three fields of 4 bytes each: the batch number, the
+// number of records and the total length of the records in bytes.
+// Each record begins with its code (1 byte). The number of the scheduler instance that the record concerns follows the
+// code (4 bytes), except in EventDefineList, whose lists are shared by all instances.
 package simproto
 
 import "heathshed/placer"
 
-// EventCode is the kind of an event record.
+// EventCode identifies the kind of an event record.
 type EventCode uint8
 
-// The codes of events.
+// The event codes of the protocol have these values.
 const (
-	EventDefineList        EventCode = 16 // the node list of a number, for later EventNodesListed
+	// EventDefineList defines a numbered node list, to which later EventNodesListed events refer.
+	EventDefineList        EventCode = 16
 	EventAttemptEnded      EventCode = 17
 	EventTaskArrived       EventCode = 18
 	EventInstanceStart     EventCode = 19
@@ -30,10 +34,10 @@
 	EventPeerMessage       EventCode = 28
 )
 
-// ActionCode is the kind of an action record.
+// ActionCode identifies the kind of an action record.
 type ActionCode uint8
 
-// The codes of actions.
+// The action codes of the protocol have these values.
 const (
 	ActionAbortAttempt ActionCode = 80
 	ActionLog          ActionCode = 82
@@ -47,10 +51,10 @@
 	ActionSetTimer     ActionCode = 92
 )
 
-// ListKind is the kind of a node list.
+// ListKind states how the entries of a node list are to be applied.
 type ListKind uint8
 
-// The kinds of list.
+// The kinds of node lists have these values in the protocol.
 const (
 	ListFull    ListKind = 0
 	ListCached  ListKind = 1
@@ -61,7 +65,7 @@
 // Status is the outcome of an attempt.
 type Status uint16
 
-// The outcomes.
+// The outcomes of an attempt have these values in the protocol.
 const (
 	StatusFinished    Status = 0
 	StatusExpired     Status = 249
@@ -73,31 +77,32 @@
 	StatusErrored     Status = 255
 )
 
-// NodeState is the state of a node.
+// NodeState is the state of a node in an entry of a node list.
 type NodeState uint8
 
-// The states that are distinguished; nodes in any other state have terminated.
+// A node whose state has any other value has terminated.
 const (
 	NodeReady    NodeState = 1
 	NodeDraining NodeState = 2
 )
 
-// TaskFlags are bits that say more about a task.
+// TaskFlags are the flag bits in the record of a task.
 type TaskFlags uint8
 
-// retryFlags are the bits of which any says that the client requested the task before.
-const retryFlags TaskFlags = 2 | 16
+// retryFlagMask contains the flag bits that mark a repeated request. Either bit alone marks the request as a retry.
+const retryFlagMask TaskFlags = 2 | 16
 
-// IsRetry reports whether the client requested the task before.
-func (f TaskFlags) IsRetry() bool { return f&retryFlags != 0 }
+// IsRetry reports whether the client has requested the same task before.
+func (f TaskFlags) IsRetry() bool { return f&retryFlagMask != 0 }
 
-// MaxNodeLists is the number of node lists that may be defined, numbered from 0.
+// MaxNodeLists is the maximum number of node lists that the simulator can define. The lists are numbered from 0.
 const MaxNodeLists = 16
 
-// NodeAddress is a node's address of six bytes, packed into an integer. It is written as it was read.
+// NodeAddress holds the six bytes of a node's address, packed into an integer. An address that was read and is written
+// again has the same six bytes.
 type NodeAddress uint64
 
-// NodeEntry is one entry of a node list.
+// NodeEntry describes one node in a node list.
 type NodeEntry struct {
 	Node           NodeAddress
 	Zone, NodeType uint8
@@ -109,7 +114,8 @@
 	StartedAt      placer.Seconds
 }
 
-// Event is one event record. Which fields are set depends on Code. Slices are valid until the next Read.
+// Event holds the fields of one event record. The event code determines which fields are set. The slices are valid
+// until the next call of Reader.Read.
 type Event struct {
 	Code                            EventCode
 	Instance                        uint32
@@ -137,9 +143,9 @@
 	MessageBody                     []byte
 }
 
-// Batch is the header of a batch of events.
+// Batch holds the header of a batch of events.
 type Batch struct {
 	Number      uint32
-	RecordCount uint32         // records that follow
-	Now         placer.Seconds // the time of all events of the batch
+	RecordCount uint32         // RecordCount is the number of records that follow the header.
+	Now         placer.Seconds // Now is the time at which all events of the batch occur.
 }
--- a/internal/simbridge/simproto/writer.go
+++ b/internal/simbridge/simproto/writer.go
@@ -9,111 +9,113 @@
 
 const replyHeaderBytes = 12
 
-// watchWithChanges requests later changes in addition to the list.
+// watchWithChanges is the value of the field of ActionWatchNodes that requests the list and all later changes.
 const watchWithChanges = 1
 
-// Writer builds one reply at a time: Start, any number of actions, Finish. The zero value is ready to use.
+// Writer builds one reply at a time. Start begins the reply, the methods named after actions add records to it, and
+// Finish completes it. The zero value of Writer is ready to use.
 type Writer struct {
-	reply []byte
-	count uint32
+	reply       []byte
+	actionCount uint32
 }
 
-// Start begins the reply to the batch of the given number.
-func (w *Writer) Start(number uint32) {
+// Start begins the reply to the batch with the given number and discards the previous reply.
+func (w *Writer) Start(batchNumber uint32) {
 	w.reply = append(w.reply[:0], make([]byte, replyHeaderBytes)...)
-	binary.LittleEndian.PutUint32(w.reply, number)
-	w.count = 0
+	binary.LittleEndian.PutUint32(w.reply, batchNumber)
+	w.actionCount = 0
 }
 
-// Finish returns the reply, which is valid until the next Start.
+// Finish completes the reply and returns its bytes, which are valid until the next call of Start.
 func (w *Writer) Finish() []byte {
-	binary.LittleEndian.PutUint32(w.reply[4:], w.count)
+	binary.LittleEndian.PutUint32(w.reply[4:], w.actionCount)
 	binary.LittleEndian.PutUint32(w.reply[8:], uint32(len(w.reply)-replyHeaderBytes))
 	return w.reply
 }
 
-// StartAttempt sends a task to a node. The attempt times out at the clock time until.
-func (w *Writer) StartAttempt(instance uint32, id uint64, until placer.Seconds, node NodeAddress) {
-	w.action(ActionStartAttempt, instance)
-	w.u64(id)
-	w.seconds(until)
-	w.node(node)
+// StartAttempt requests an attempt to start a task on a node. The attempt times out at the given clock time.
+func (w *Writer) StartAttempt(instance uint32, taskID uint64, until placer.Seconds, node NodeAddress) {
+	w.beginAction(ActionStartAttempt, instance)
+	w.writeU64(taskID)
+	w.writeSeconds(until)
+	w.writeNodeAddress(node)
 }
 
-// Reject answers that a task was not placed. The client may request it again after the given time, if it is not 0.
-func (w *Writer) Reject(instance uint32, id uint64, after placer.Seconds) {
-	w.action(ActionReject, instance)
-	w.u64(id)
-	w.seconds(after)
+// Reject answers the client that the task was not placed. If the duration is not 0, the client may request the task
+// again after it has passed.
+func (w *Writer) Reject(instance uint32, taskID uint64, after placer.Seconds) {
+	w.beginAction(ActionReject, instance)
+	w.writeU64(taskID)
+	w.writeSeconds(after)
 }
 
-// Fail answers that the outcome of a request is not known.
-func (w *Writer) Fail(instance uint32, id uint64) {
-	w.action(ActionFail, instance)
-	w.u64(id)
+// Fail answers the client that the outcome of its placement request is unknown.
+func (w *Writer) Fail(instance uint32, taskID uint64) {
+	w.beginAction(ActionFail, instance)
+	w.writeU64(taskID)
 }
 
-// SetTimer requests an EventTimerFired with the token after the given time.
+// SetTimer requests an EventTimerFired event that carries the token, after the given duration.
 func (w *Writer) SetTimer(instance uint32, token uint64, after placer.Seconds) {
-	w.action(ActionSetTimer, instance)
-	w.u64(token)
-	w.seconds(after)
+	w.beginAction(ActionSetTimer, instance)
+	w.writeU64(token)
+	w.writeSeconds(after)
 }
 
-// WatchNodes requests the node list and its changes.
+// WatchNodes requests the node list and all later changes of it.
 func (w *Writer) WatchNodes(instance uint32) {
-	w.action(ActionWatchNodes, instance)
+	w.beginAction(ActionWatchNodes, instance)
 	w.reply = append(w.reply, watchWithChanges)
 }
 
 // ListNodes requests the node list once.
-func (w *Writer) ListNodes(instance uint32) { w.action(ActionListNodes, instance) }
+func (w *Writer) ListNodes(instance uint32) { w.beginAction(ActionListNodes, instance) }
 
-// Migrate stops a bound task, which its client then requests again.
-func (w *Writer) Migrate(instance uint32, id uint64) {
-	w.action(ActionMigrate, instance)
-	w.u64(id)
+// Migrate stops a bound task. The client then requests the task again.
+func (w *Writer) Migrate(instance uint32, taskID uint64) {
+	w.beginAction(ActionMigrate, instance)
+	w.writeU64(taskID)
 }
 
-// AbortAttempt stops waiting for an attempt.
-func (w *Writer) AbortAttempt(instance uint32, id uint64, attempt uint8) {
-	w.action(ActionAbortAttempt, instance)
-	w.u64(id)
+// AbortAttempt stops waiting for the answer to an attempt.
+func (w *Writer) AbortAttempt(instance uint32, taskID uint64, attempt uint8) {
+	w.beginAction(ActionAbortAttempt, instance)
+	w.writeU64(taskID)
 	w.reply = append(w.reply, attempt)
 }
 
-// Log adds a line to the simulator's report.
+// Log adds a line of text to the report of the simulator.
 func (w *Writer) Log(instance uint32, text string) {
-	w.action(ActionLog, instance)
-	w.text(text)
+	w.beginAction(ActionLog, instance)
+	w.writeText(text)
 }
 
-// ReportPanic reports that the code under simulation panicked.
+// ReportPanic reports a panic of the scheduler instance, with the text of the panic.
 func (w *Writer) ReportPanic(instance uint32, text string) {
-	w.action(ActionReportPanic, instance)
-	w.text(text)
+	w.beginAction(ActionReportPanic, instance)
+	w.writeText(text)
 }
 
-// action begins an action record.
-func (w *Writer) action(code ActionCode, instance uint32) {
-	w.count++
+// beginAction begins an action record with its code and the number of the scheduler instance.
+func (w *Writer) beginAction(code ActionCode, instance uint32) {
+	w.actionCount++
 	w.reply = append(w.reply, byte(code))
 	w.reply = binary.LittleEndian.AppendUint32(w.reply, instance)
 }
 
-func (w *Writer) u64(v uint64) { w.reply = binary.LittleEndian.AppendUint64(w.reply, v) }
+func (w *Writer) writeU64(value uint64) { w.reply = binary.LittleEndian.AppendUint64(w.reply, value) }
 
-// seconds writes a time or duration.
-func (w *Writer) seconds(v placer.Seconds) { w.u64(math.Float64bits(float64(v))) }
+// writeSeconds writes a time or a duration.
+func (w *Writer) writeSeconds(value placer.Seconds) { w.writeU64(math.Float64bits(float64(value))) }
 
-func (w *Writer) node(node NodeAddress) {
+func (w *Writer) writeNodeAddress(node NodeAddress) {
 	w.reply = binary.LittleEndian.AppendUint32(w.reply, uint32(node))
 	w.reply = binary.LittleEndian.AppendUint16(w.reply, uint16(node>>32))
 }
 
-// text writes a string with its length, cut to what the length can count.
-func (w *Writer) text(s string) {
-	s = s[:min(len(s), math.MaxUint16)]
-	w.reply = binary.LittleEndian.AppendUint16(w.reply, uint16(len(s)))
-	w.reply = append(w.reply, s...)
+// writeText writes the length of a text as 2 bytes and then the text, truncated to the maximum of the length field.
+func (w *Writer) writeText(text string) {
+	text = text[:min(len(text), math.MaxUint16)]
+	w.reply = binary.LittleEndian.AppendUint16(w.reply, uint16(len(text)))
+	w.reply = append(w.reply, text...)
 }
