--- a/internal/simbridge/simconfig/characterization_test.go
+++ b/internal/simbridge/simconfig/characterization_test.go
@@ -1,8 +1,8 @@
 package simconfig_test
 
-// Characterization tests: they pin the result of Parse field by field for settings of three shapes, and which
-// settings are rejected.
-// Package goldentest says how golden files are compared and written.
+// These characterization tests detect changes in the interpretation of settings. They pin every field of the result of
+// Parse for three variants of settings, and the errors for invalid settings. Package goldentest documents how golden
+// files are compared and written.
 
 import (
 	"fmt"
@@ -15,12 +15,13 @@
 	"heathshed/placer"
 )
 
-// minimal has no optional key.
-const minimal = `{"peersTotal":1,"permissions":{"mostTries":1},"extra":{"coresByKind":[4],"kindMemory":[8]},
+// minimalSettings contains no optional key.
+const minimalSettings = `{"peersTotal":1,"permissions":{"mostTries":1},"extra":{"coresByKind":[4],"kindMemory":[8]},
  "lanes":[{"effect":"idempotent","hardLimitS":4,"objectiveS":1}]}`
 
-// short has lists that are shorter than the lanes, whose last value serves for the rest, and unknown keys.
-const short = `{"discovery":"push","me":1,"myZone":2,"peersTotal":3,"unheardOf":{"a":[1]},"roundS":0.05,
+// shortListSettings contains unknown keys and lists with fewer values than task classes. The last value of such a list
+// applies to the remaining classes.
+const shortListSettings = `{"discovery":"push","me":1,"myZone":2,"peersTotal":3,"unheardOf":{"a":[1]},"roundS":0.05,
  "extra":{"admitMemory":1.5,"apartBy":["none","cell","zone"],"classKind":[1],"coresByKind":[8,16],"counts":"used","cpuBooking":2,
   "freeInList":true,"fullUpTo":[1,0.8],"fadesOver":[1,0.2],"kindMemory":[16,32],"precedence":[0,2],"saysYes":"running",
   "startBonusS":[5,6],"togetherMax":[0,2],"youngLimit":12,"quotaCores":[7]},
@@ -32,8 +33,8 @@
  "loadReport":{"fields":["x1","utilization"],"how":"answers"},"permissions":{"mostTries":3},
  "rules":{"answerSlackS":0.01,"askWithinS":9,"fallS":1,"warmWithinS":8}}`
 
-// full has every key, each number another one, so that no two fields can be exchanged unseen.
-const full = `{"discovery":"ask","me":4,"myZone":5,"peersTotal":6,"roundS":0.11,"overShareWorth":0.12,
+// completeSettings contains every key. The numbers differ to reveal an exchange of two fields.
+const completeSettings = `{"discovery":"ask","me":4,"myZone":5,"peersTotal":6,"roundS":0.11,"overShareWorth":0.12,
  "flavors":["small","large","wide"],"zones":["a","b","c"],
  "extra":{"admitMemory":1.21,"apartBy":["machine","all","zone"],"bound":true,"classKind":[2,0,1],"coresByKind":[8.1,16.1,32.1],
   "counts":"asked","cpuBooking":1.31,"fadesOver":[0.41,0.42,0.43],"freeInList":false,"fullUpTo":[0.51,0.52,0.53],
@@ -48,12 +49,13 @@
  "tariffs":{"crossZone":0.31,"fleet":0.32,"moves":0.33},
  "rules":{"answerSlackS":0.41,"askWithinS":42.1,"coldFrom":0.43,"drainGraceS":4.4,"fallS":4.5,"overloadFactor":4.6,"warmWithinS":4.7}}`
 
-// describe writes all results in a fixed order: integers in decimal, floats as bits, texts quoted.
-func describe(settings *simconfig.Settings) string {
+// describeSettings returns all fields of the settings as text in a fixed order. Integers are written in decimal, floating
+// point numbers as their bits, and strings in quotes.
+func describeSettings(settings *simconfig.Settings) string {
 	var text strings.Builder
-	floats := func(values ...float64) {
-		for _, v := range values {
-			fmt.Fprintf(&text, " %x", math.Float64bits(v))
+	writeFloats := func(values ...float64) {
+		for _, value := range values {
+			fmt.Fprintf(&text, " %x", math.Float64bits(value))
 		}
 		text.WriteByte('\n')
 	}
@@ -62,84 +64,85 @@
 		config.NodeBehavior.AcknowledgesOnStart, config.NodeBehavior.ListShowsCapacity, config.NodeBehavior.ReportsUsage, config.Peers.StickyServices,
 		config.NodeBehavior.Preempts, config.Attempts.AllowsHedging, config.Discovery.MustPoll, config.Retry.SendsRetryAfter)
 	text.WriteString("2:")
-	floats(config.Overcommit.Cores, config.Overcommit.Memory, float64(config.Attempts.ConnectTimeout), float64(config.Attempts.AnswerGrace),
+	writeFloats(config.Overcommit.Cores, config.Overcommit.Memory, float64(config.Attempts.ConnectTimeout), float64(config.Attempts.AnswerGrace),
 		float64(config.Attempts.DrainGrace), config.SlowStart.MinPace, float64(config.SlowStart.Duration), config.SlowStart.OverloadMultiple)
 	text.WriteString("3:")
-	floats(float64(config.SlowStart.OverloadWindow), config.SlowStart.MaxAttempts, float64(config.Discovery.MaxPollInterval),
+	writeFloats(float64(config.SlowStart.OverloadWindow), config.SlowStart.MaxAttempts, float64(config.Discovery.MaxPollInterval),
 		float64(config.Retry.MaxRetryAfter), float64(config.Retry.UnknownOutcomeWait), config.Costs.Node, config.Costs.CrossZone, config.Costs.Migration,
 		config.OverQuotaWeight)
 	for _, class := range config.Classes {
 		fmt.Fprintf(&text, "4: %d %d %d %d %d %d", uint8(class.Idempotency), uint8(class.DedupDomain), class.Priority, class.NodeType,
 			uint8(class.SpreadDomain), class.MaxPerDomain)
-		floats(float64(class.DedupWindow), float64(class.LatencyObjective), float64(class.Deadline), class.Weight,
+		writeFloats(float64(class.DedupWindow), float64(class.LatencyObjective), float64(class.Deadline), class.Weight,
 			class.LateWeight, float64(class.StartBonus), class.SaturationThreshold, class.DegradationRange)
 	}
 	for _, nodeType := range config.NodeTypes {
 		text.WriteString("5:")
-		floats(nodeType.Cores, nodeType.Memory)
+		writeFloats(nodeType.Cores, nodeType.Memory)
 	}
 	for _, tenant := range config.Tenants {
 		text.WriteString("6:")
-		floats(tenant.Share, tenant.Cores)
+		writeFloats(tenant.Share, tenant.Cores)
 	}
 	fmt.Fprintf(&text, "7: %q %q %q %q %q\n", settings.ClassNames, settings.TenantNames, settings.ZoneNames, settings.NodeTypeNames, settings.ReportFields)
 	text.WriteString("8:")
-	floats(float64(settings.IdleTimeout), float64(settings.BatchInterval))
+	writeFloats(float64(settings.IdleTimeout), float64(settings.BatchInterval))
 	return text.String()
 }
 
 func TestCharacterizationOfParse(t *testing.T) {
 	var text strings.Builder
-	for i, settings := range []string{minimal, short, full} {
-		parsed, err := simconfig.Parse([]byte(settings))
+	for variant, settingsJSON := range []string{minimalSettings, shortListSettings, completeSettings} {
+		parsed, err := simconfig.Parse([]byte(settingsJSON))
 		if err != nil {
-			t.Fatalf("shape %d: %v", i, err)
+			t.Fatalf("parse settings variant %d: %v", variant, err)
 		}
-		fmt.Fprintf(&text, "shape %d\n%s", i, describe(parsed))
+		fmt.Fprintf(&text, "shape %d\n%s", variant, describeSettings(parsed))
 	}
 	goldentest.CheckText(t, "settings", text.String())
 }
 
-// TestCharacterizationOfInvalidSettings pins which settings are rejected, and the error text, which names JSON keys.
+// TestCharacterizationOfInvalidSettings pins which settings are rejected and the error texts, which name the JSON keys.
 func TestCharacterizationOfInvalidSettings(t *testing.T) {
-	for _, c := range []struct{ old, new, want string }{
+	for _, testCase := range []struct{ old, new, wantError string }{
 		{`"idempotent"`, `"idempotent"`, ""},
-		{`"idempotent"`, `"maybe"`, `settings: lanes[0].effect: "maybe" is not known`},
-		{`"keyScope":"cell"`, `"keyScope":"moon"`, `settings: lanes[1].keyScope: "moon" is no place`},
+		{`"idempotent"`, `"maybe"`, `settings: lanes[0].effect: unknown value "maybe"`},
+		{`"keyScope":"cell"`, `"keyScope":"moon"`, `settings: lanes[1].keyScope: unknown topology domain "moon"`},
 		{`"keyScope":"cell"`, `"keyScope":""`, ""},
-		{`["none","cell","zone"]`, `["none","moon"]`, `settings: extra.apartBy[1]: "moon" is no place`},
-		{`"kindMemory":[16,32]`, `"kindMemory":[16]`, "settings: extra.kindMemory: 1 kinds, extra.coresByKind has 2"},
+		{`["none","cell","zone"]`, `["none","moon"]`, `settings: extra.apartBy[1]: unknown topology domain "moon"`},
+		{`"kindMemory":[16,32]`, `"kindMemory":[16]`, "settings: extra.kindMemory has length 1, but extra.coresByKind has length 2"},
 		{`{"discovery"`, `["discovery"`, "settings: invalid character ':' after array element"},
 	} {
-		got := ""
-		if _, err := simconfig.Parse([]byte(strings.Replace(short, c.old, c.new, 1))); err != nil {
-			got = err.Error()
+		gotError := ""
+		if _, err := simconfig.Parse([]byte(strings.Replace(shortListSettings, testCase.old, testCase.new, 1))); err != nil {
+			gotError = err.Error()
 		}
-		if got != c.want {
-			t.Errorf("%s for %s:\n got %q\nwant %q", c.new, c.old, got, c.want)
+		if gotError != testCase.wantError {
+			t.Errorf("settings with %s instead of %s:\n got error %q\nwant error %q", testCase.new, testCase.old, gotError, testCase.wantError)
 		}
 	}
 }
 
-// TestCharacterizationOfSetReportField pins which field of a report each name sets; the others stay NaN.
+// TestCharacterizationOfSetReportField pins which field of a load report each name sets. All other fields stay NaN.
 func TestCharacterizationOfSetReportField(t *testing.T) {
-	for word, want := range map[string]string{"x0": "1000", "x1": "0100", "utilization": "0010", "backlog": "0001", "other": "0000"} {
+	for fieldName, wantDigits := range map[string]string{"x0": "1000", "x1": "0100", "utilization": "0010", "backlog": "0001", "other": "0000"} {
 		report := simconfig.EmptyReport()
-		simconfig.SetReportField(&report, word, 2.5)
-		if got := describeReport(report); got != want {
-			t.Errorf("%s sets %s, want %s", word, got, want)
+		simconfig.SetReportField(&report, fieldName, 2.5)
+		if got := describeReport(report); got != wantDigits {
+			t.Errorf("load report after setting field %q: got set fields %s, want %s", fieldName, got, wantDigits)
 		}
 	}
 }
 
-// describeReport returns one digit for each value of a report: 0 if it is NaN, 1 if it is 2.5.
+// describeReport returns one digit for each value of a load report. The digit is 0 if the value is NaN, 1 if the value is
+// 2.5, and ? otherwise.
 func describeReport(report placer.Report) string {
 	var text strings.Builder
-	for _, v := range []float64{report.FreeCores, report.FreeMemory, report.Utilization, report.QueueLength} {
+	for _, value := range []float64{report.FreeCores, report.FreeMemory, report.Utilization, report.QueueLength} {
 		switch {
-		case math.IsNaN(v):
+		case math.IsNaN(value):
 			text.WriteByte('0')
-		case v == 2.5:
+		case value == 2.5:
 			text.WriteByte('1')
 		default:
 			text.WriteByte('?')
--- a/internal/simbridge/simconfig/report.go
+++ b/internal/simbridge/simconfig/report.go
@@ -6,15 +6,15 @@
 	"heathshed/placer"
 )
 
-// EmptyReport returns a load report in which no value is set.
+// EmptyReport returns a load report in which all values are NaN, which means that they are not reported.
 func EmptyReport() placer.Report {
-	none := math.NaN()
-	return placer.Report{FreeCores: none, FreeMemory: none, Utilization: none, QueueLength: none}
+	unset := math.NaN()
+	return placer.Report{FreeCores: unset, FreeMemory: unset, Utilization: unset, QueueLength: unset}
 }
 
-// SetReportField sets the value of the named field of a load report. Unknown names are skipped.
-func SetReportField(report *placer.Report, field string, value float64) {
-	switch field {
+// SetReportField sets the field of a load report that has the given name in the settings. It ignores unknown names.
+func SetReportField(report *placer.Report, fieldName string, value float64) {
+	switch fieldName {
 	case "x0":
 		report.FreeCores = value
 	case "x1":
--- a/internal/simbridge/simconfig/settings.go
+++ b/internal/simbridge/simconfig/settings.go
@@ -2,8 +2,8 @@
 
 import "heathshed/placer"
 
-// settings has a field for each key that is used; other keys are skipped. The fields are named as the keys; those whose
-// names end in S are in seconds.
+// settings is the JSON form of the settings. It has one field for each key that Parse uses; the decoder ignores all other
+// keys. The fields have the names of the keys. Fields whose names end in S are durations in seconds.
 type settings struct {
 	Discovery string `json:"discovery"`
 	Extra     struct {
--- a/internal/simbridge/simconfig/simconfig.go
+++ b/internal/simbridge/simconfig/simconfig.go
@@ -1,6 +1,7 @@
-// Package simconfig parses the settings of a scheduler, which the simulator sends in its first message and a scheduler on
-// the platform has in its configuration file. Package simadapter and the platform's dispatch and server all call Parse,
-// so that the placer gets the same configuration from both. The package does no I/O and has no state.
+// Package simconfig parses the settings of a scheduler. The simulator sends these settings when it starts a scheduler
+// instance; a scheduler on the platform reads them from its configuration file. Package simadapter and the platform's
+// server both call Parse, which gives the placer the same configuration in both environments. Package dispatch uses the
+// parsed Settings. The package does no I/O and has no state.
 package simconfig
 
 import (
@@ -10,28 +11,29 @@
 	"heathshed/placer"
 )
 
-// Settings is the configuration of the placer, with the other settings that a scheduler needs.
+// Settings holds the configuration of the placer and the other settings that a scheduler needs.
 type Settings struct {
 	Placer placer.Config
-	// Names in the order of their numbers. Unlike with lists of values by class, the last one does not apply to further
-	// numbers: any other name is unknown.
+	// These lists hold the names of task classes, tenants, zones and node types; the index of a name is the number that
+	// the placer uses. A name that is not in its list is unknown. This differs from the lists of values by task class,
+	// whose last value applies to all further classes.
 	ClassNames, TenantNames, ZoneNames, NodeTypeNames []string
-	// ReportFields are the names of the values of a load report, in order.
+	// ReportFields holds the names of the values of a load report, in the order in which a report has them.
 	ReportFields []string
-	// IdleTimeout is the time after which a node closes an idle connection, or 0 if it is not known.
+	// IdleTimeout is the time after which a node closes an idle connection. It is 0 if the settings do not give that time.
 	IdleTimeout placer.Seconds
-	// BatchInterval is the shortest time between two batches of events.
+	// BatchInterval is the minimum time between two batches of events.
 	BatchInterval placer.Seconds
 }
 
-// Values of settings that select one of two modes.
+// These values of settings select one of two modes. Any other value selects the other mode.
 const (
-	discoveryByPolling  = "ask"     // discovery: node lists are sent only on request
-	acknowledgedOnStart = "running" // extra.saysYes: nodes accept a task when it runs
-	reportsCountUsage   = "used"    // extra.counts: load reports count what is used
+	pollingDiscovery       = "ask"     // With this value of the key discovery, node lists are sent only on request.
+	acknowledgementOnStart = "running" // With this value of extra.saysYes, a node accepts a task when the task runs.
+	usageInReports         = "used"    // With this value of extra.counts, load reports contain the used resources.
 )
 
-// Parse reads the JSON text of the settings. An error names the key that cannot be used.
+// Parse parses the JSON text of the settings. If a value is invalid, the error names its key.
 func Parse(text []byte) (*Settings, error) {
 	var parsed settings
 	if err := json.Unmarshal(text, &parsed); err != nil {
@@ -46,7 +48,7 @@
 		BatchInterval: parsed.RoundS,
 	}
 	for i := range parsed.Lanes {
-		class, err := parsed.class(i)
+		class, err := parsed.placerClass(i)
 		if err != nil {
 			return nil, fmt.Errorf("settings: %w", err)
 		}
@@ -54,7 +56,7 @@
 		result.ClassNames = append(result.ClassNames, parsed.Lanes[i].Name)
 	}
 	var err error
-	if result.Placer.NodeTypes, err = parsed.nodeTypes(); err != nil {
+	if result.Placer.NodeTypes, err = parsed.placerNodeTypes(); err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
 	for i, org := range parsed.Orgs {
@@ -65,7 +67,7 @@
 	return result, nil
 }
 
-// placerConfig returns the configuration without its classes, node types and tenants.
+// placerConfig returns the configuration of the placer, except for its task classes, node types and tenants.
 func (s *settings) placerConfig() placer.Config {
 	extra, rules, permissions := &s.Extra, &s.Rules, &s.Permissions
 	return placer.Config{
@@ -73,9 +75,9 @@
 		Peers:           placer.Peers{Self: s.Me, Total: s.PeersTotal, StickyServices: extra.Bound},
 		OverQuotaWeight: s.OverShareWorth,
 		NodeBehavior: placer.NodeBehavior{
-			AcknowledgesOnStart: extra.SaysYes == acknowledgedOnStart,
+			AcknowledgesOnStart: extra.SaysYes == acknowledgementOnStart,
 			ListShowsCapacity:   extra.FreeInList,
-			ReportsUsage:        extra.Counts == reportsCountUsage,
+			ReportsUsage:        extra.Counts == usageInReports,
 			Preempts:            extra.PushesOut,
 		},
 		Overcommit: placer.Overcommit{Cores: extra.CPUBooking, Memory: extra.AdmitMemory},
@@ -98,46 +100,46 @@
 			MaxRetryAfter:      permissions.MaxRetryAfterS,
 			UnknownOutcomeWait: extra.CheckAfterS,
 		},
-		Discovery: placer.Discovery{MustPoll: s.Discovery == discoveryByPolling, MaxPollInterval: rules.AskWithinS},
+		Discovery: placer.Discovery{MustPoll: s.Discovery == pollingDiscovery, MaxPollInterval: rules.AskWithinS},
 		Costs:     placer.Costs{Node: s.Tariffs.Fleet, CrossZone: s.Tariffs.Cross, Migration: s.Tariffs.Moves},
 	}
 }
 
-// class returns the i-th class, which the settings call a lane.
-func (s *settings) class(i int) (placer.Class, error) {
-	lane, extra := &s.Lanes[i], &s.Extra
+// placerClass returns the task class with the given index. The settings call a task class a lane.
+func (s *settings) placerClass(index int) (placer.Class, error) {
+	lane, extra := &s.Lanes[index], &s.Extra
 	class := placer.Class{
 		DedupWindow:         lane.KeyTTLS,
 		LatencyObjective:    lane.ObjectiveS,
 		Deadline:            lane.HardLimitS,
 		Weight:              lane.Worth,
 		LateWeight:          lane.LateValue,
-		StartBonus:          valueOrLast(extra.StartBonusS, i, 0),
-		Priority:            valueOrLast(extra.Precedence, i, 0),
-		NodeType:            valueOrLast(extra.ClassKind, i, -1),
-		MaxPerDomain:        valueOrLast(extra.TogetherMax, i, 0),
-		SaturationThreshold: valueOrLast(extra.FullUpTo, i, 0),
-		DegradationRange:    valueOrLast(extra.FadesOver, i, 0),
+		StartBonus:          valueOrLast(extra.StartBonusS, index, 0),
+		Priority:            valueOrLast(extra.Precedence, index, 0),
+		NodeType:            valueOrLast(extra.ClassKind, index, -1),
+		MaxPerDomain:        valueOrLast(extra.TogetherMax, index, 0),
+		SaturationThreshold: valueOrLast(extra.FullUpTo, index, 0),
+		DegradationRange:    valueOrLast(extra.FadesOver, index, 0),
 	}
 	var err error
 	if class.Idempotency, err = parseIdempotency(lane.Effect); err != nil {
-		return class, fmt.Errorf("lanes[%d].effect: %w", i, err)
+		return class, fmt.Errorf("lanes[%d].effect: %w", index, err)
 	}
-	class.DedupDomain, err = parseDomain(lane.KeyScope)
+	class.DedupDomain, err = parseTopologyDomain(lane.KeyScope)
 	if err != nil && class.Idempotency == placer.IdempotentByKey {
-		return class, fmt.Errorf("lanes[%d].keyScope: %w", i, err)
+		return class, fmt.Errorf("lanes[%d].keyScope: %w", index, err)
 	}
-	if class.SpreadDomain, err = parseDomain(valueOrLast(extra.ApartBy, i, "none")); err != nil {
-		return class, fmt.Errorf("extra.apartBy[%d]: %w", i, err)
+	if class.SpreadDomain, err = parseTopologyDomain(valueOrLast(extra.ApartBy, index, "none")); err != nil {
+		return class, fmt.Errorf("extra.apartBy[%d]: %w", index, err)
 	}
 	return class, nil
 }
 
-// nodeTypes returns the node types, whose cores and memory the settings give as two lists.
-func (s *settings) nodeTypes() ([]placer.NodeType, error) {
+// placerNodeTypes returns the node types. The settings give their cores and their memory as two lists of equal length.
+func (s *settings) placerNodeTypes() ([]placer.NodeType, error) {
 	cores, memory := s.Extra.CoresByKind, s.Extra.KindMemory
 	if len(memory) != len(cores) {
-		return nil, fmt.Errorf("extra.kindMemory: %d kinds, extra.coresByKind has %d", len(memory), len(cores))
+		return nil, fmt.Errorf("extra.kindMemory has length %d, but extra.coresByKind has length %d", len(memory), len(cores))
 	}
 	var types []placer.NodeType
 	for i := range cores {
@@ -146,16 +148,16 @@
 	return types, nil
 }
 
-// valueOrLast returns the i-th value of a list by class, or the last one if the list is shorter, or the fallback if it is
-// empty.
-func valueOrLast[T any](values []T, i int, fallback T) T {
+// valueOrLast returns the value with the given index. It returns the last value if the list is shorter, and the fallback
+// if the list is empty.
+func valueOrLast[T any](values []T, index int, fallback T) T {
 	if len(values) == 0 {
 		return fallback
 	}
-	return values[min(i, len(values)-1)]
+	return values[min(index, len(values)-1)]
 }
 
-// parseIdempotency returns the idempotency of a class, which the settings call its effect.
+// parseIdempotency returns the idempotency of a task class. The settings call it the effect of the class.
 func parseIdempotency(name string) (placer.Idempotency, error) {
 	switch name {
 	case "idempotent":
@@ -165,11 +167,11 @@
 	case "at_most_once":
 		return placer.NonIdempotent, nil
 	}
-	return placer.Idempotent, fmt.Errorf("%q is not known", name)
+	return placer.Idempotent, fmt.Errorf("unknown value %q", name)
 }
 
-// parseDomain returns the failure domain that the settings call a place.
-func parseDomain(name string) (placer.TopologyDomain, error) {
+// parseTopologyDomain returns the topology domain that has the given name in the settings.
+func parseTopologyDomain(name string) (placer.TopologyDomain, error) {
 	switch name {
 	case "none", "":
 		return placer.NoDomain, nil
@@ -182,5 +184,5 @@
 	case "all":
 		return placer.ClusterDomain, nil
 	}
-	return placer.NoDomain, fmt.Errorf("%q is no place", name)
+	return placer.NoDomain, fmt.Errorf("unknown topology domain %q", name)
 }
