--- a/internal/simbridge/simadapter/characterization_test.go
+++ b/internal/simbridge/simadapter/characterization_test.go
@@ -1,9 +1,9 @@
 package simadapter_test
 
-// Characterization tests: they drive the adapter through a scripted run in a closed loop. A simulated peer reads
-// each reply, carries out its actions and builds the next batch; a running SHA-256 covers all bytes of all
-// replies. The first checkpoint that differs locates a change.
-// Package goldentest says how golden files are compared and written.
+// These characterization tests detect changes in the replies of the adapter. A fake simulator reads each reply, executes
+// its actions and builds the next batch from the results. A running SHA-256 digest covers all bytes of all replies; the
+// first checkpoint that differs shows between which batches a change occurred. Package goldentest documents how golden
+// files are compared and written.
 
 import (
 	"bytes"
@@ -22,8 +22,8 @@
 	"heathshed/internal/testsupport/simwire"
 )
 
-// With pushSettings node lists are pushed and carry the free capacity; with consolidatingSettings nodes in use have a cost
-// and lists are polled.
+// With pushSettings, discovery pushes node lists. With consolidatingSettings, the scheduler polls node lists, and each node
+// in use has a cost. The node lists contain the free capacity in both cases.
 const (
 	pushSettings = `{"discovery":"push","me":0,"myZone":0,"peersTotal":2,
  "extra":{"admitMemory":1.5,"apartBy":["none","cell"],"classKind":[-1,-1],"coresByKind":[8,16],"counts":"used","cpuBooking":2,
@@ -45,118 +45,126 @@
 )
 
 const (
-	batches         = 1500
-	checkpointEvery = 50
+	batchCount           = 1500
+	batchesPerCheckpoint = 50
 )
 
-// pendingRecord is a record that is sent at a later time.
-type pendingRecord struct {
+// scheduledRecord is an event record that the fake simulator sends at a later time.
+type scheduledRecord struct {
 	at     float64
 	record []byte
 }
 
-// peer simulates the simulator's end of the connection: Read returns the next batch, Write receives the reply to the one before.
-type peer struct {
-	rng     *rand.Rand
-	now     float64
-	number  uint32
-	rest    []byte // of the batch being read
-	waiting []pendingRecord
-	nextID  uint64
-	digest  hash.Hash
-	replies int
-	actions [256]int // by code
-	text    strings.Builder
-	problem error
+// fakeSimulator replaces the simulator as the input and output of the adapter. Read returns the next batch, and Write
+// receives the reply to the previous batch.
+type fakeSimulator struct {
+	rng          *rand.Rand
+	now          float64
+	batchNumber  uint32
+	unread       []byte // unread holds the rest of the current batch.
+	scheduled    []scheduledRecord
+	lastTaskID   uint64
+	digest       hash.Hash
+	replyCount   int
+	actionCounts [256]int // actionCounts holds the number of received actions by action code.
+	checkpoints  strings.Builder
+	actionError  error
 }
 
-func (sim *peer) Read(into []byte) (int, error) {
-	if len(sim.rest) == 0 {
-		if sim.number == batches {
+// Read returns bytes of the current batch, or of the next one if the current batch is read completely.
+func (sim *fakeSimulator) Read(into []byte) (int, error) {
+	if len(sim.unread) == 0 {
+		if sim.batchNumber == batchCount {
 			return 0, io.EOF
 		}
-		sim.rest = sim.batch()
+		sim.unread = sim.nextBatch()
 	}
-	n := copy(into, sim.rest)
-	sim.rest = sim.rest[n:]
+	n := copy(into, sim.unread)
+	sim.unread = sim.unread[n:]
 	return n, nil
 }
 
-// batch returns the records that are due by now, with new tasks, lists and some records that mean nothing to the adapter.
-func (sim *peer) batch() []byte {
-	sim.number++
+// nextBatch returns a batch of the scheduled records that are due, new tasks and node lists. Some batches also contain
+// records that the adapter ignores.
+func (sim *fakeSimulator) nextBatch() []byte {
+	sim.batchNumber++
 	sim.now += 0.1 * sim.rng.Float64()
 	var records [][]byte
-	if sim.number == 1 {
+	if sim.batchNumber == 1 {
 		for instance, settings := range []string{pushSettings, consolidatingSettings} {
 			records = append(records, simwire.Record(uint8(19), uint32(instance), uint64(9+instance), uint32(len(settings)), []byte(settings)))
 		}
 	}
-	if sim.number%10 == 1 {
-		records = append(records, sim.list(), sim.nodesListed(0), sim.nodesListed(1))
+	if sim.batchNumber%10 == 1 {
+		records = append(records, sim.nodeListRecord(), sim.nodesListedRecord(0), sim.nodesListedRecord(1))
 	}
-	later := sim.waiting[:0]
-	for _, pending := range sim.waiting {
+	stillPending := sim.scheduled[:0]
+	for _, pending := range sim.scheduled {
 		if pending.at <= sim.now {
 			records = append(records, pending.record)
 		} else {
-			later = append(later, pending)
+			stillPending = append(stillPending, pending)
 		}
 	}
-	sim.waiting = later
+	sim.scheduled = stillPending
 	for range sim.rng.IntN(3) {
-		records = append(records, sim.task(uint32(sim.rng.IntN(2))))
+		records = append(records, sim.taskRecord(uint32(sim.rng.IntN(2))))
 	}
-	if sim.number%40 == 7 {
+	if sim.batchNumber%40 == 7 {
 		records = append(records, sim.unmatchedRecords()...)
 	}
-	return simwire.Batch(sim.number, sim.now, records...)
+	return simwire.Batch(sim.batchNumber, sim.now, records...)
 }
 
+// nodeAddress returns the address of the node with the given index.
 func nodeAddress(i int) [6]byte { return [6]byte{10, 0, byte(i / 5), byte(i), 1, 2} }
 
-// list defines list 2: twenty nodes, some of them draining, terminated or just started.
-func (sim *peer) list() []byte {
+// nodeListRecord returns a record that defines node list 2 with twenty nodes. Some nodes are draining, terminated or
+// started shortly before.
+func (sim *fakeSimulator) nodeListRecord() []byte {
 	var entries []byte
 	const count = 20
 	for i := range count {
-		health, since := uint8(1), 0.0
+		nodeState, startedAt := uint8(1), 0.0
 		switch sim.rng.IntN(12) {
 		case 0:
-			health = uint8(sim.rng.IntN(4))
+			nodeState = uint8(sim.rng.IntN(4))
 		case 1:
-			since = sim.now - 0.5
+			startedAt = sim.now - 0.5
 		}
-		kind, free := i%2, 0.75+0.01*float32(i)
-		entries = append(entries, simwire.Record(nodeAddress(i), uint8(i%3), float32(8*(kind+1))*free, uint8(kind), uint16(i%6),
-			float32(16*(kind+1))*free, health, float32(1), since)...)
+		nodeType, freeFraction := i%2, 0.75+0.01*float32(i)
+		entries = append(entries, simwire.Record(nodeAddress(i), uint8(i%3), float32(8*(nodeType+1))*freeFraction, uint8(nodeType), uint16(i%6),
+			float32(16*(nodeType+1))*freeFraction, nodeState, float32(1), startedAt)...)
 	}
 	return append(simwire.Record(uint8(16), uint8(2), uint32(count)), entries...)
 }
 
-func (sim *peer) nodesListed(instance uint32) []byte {
-	kinds := []uint8{0, 1, 2, 4, 4, 4}
-	return simwire.Record(uint8(26), instance, kinds[sim.rng.IntN(len(kinds))], sim.number, uint8(2))
+// nodesListedRecord returns a record that passes node list 2 to the instance as a list of a random kind.
+func (sim *fakeSimulator) nodesListedRecord(instance uint32) []byte {
+	listKinds := []uint8{0, 1, 2, 4, 4, 4}
+	return simwire.Record(uint8(26), instance, listKinds[sim.rng.IntN(len(listKinds))], sim.batchNumber, uint8(2))
 }
 
-func (sim *peer) task(instance uint32) []byte {
-	sim.nextID++
+// taskRecord returns the record of a new task, which is either a placement request or the adoption of a running task.
+func (sim *fakeSimulator) taskRecord(instance uint32) []byte {
+	sim.lastTaskID++
 	class := uint16(sim.rng.IntN(2))
 	service, cores, memory := uint64(1+sim.rng.IntN(8)), 0.2+sim.rng.Float32(), 0.5+sim.rng.Float32()
 	if sim.rng.IntN(12) == 0 {
 		node := nodeAddress(sim.rng.IntN(20))
-		sim.later(4, simwire.Record(uint8(17), instance, sim.nextID, node, 4.0, uint8(0), uint8(0), uint8(1), uint16(0), uint8(0)))
-		return simwire.Record(uint8(24), instance, sim.nextID, node, 30.0, sim.now+30, class, uint64(3), uint8(16), cores, memory, service, uint16(0))
+		sim.schedule(4, simwire.Record(uint8(17), instance, sim.lastTaskID, node, 4.0, uint8(0), uint8(0), uint8(1), uint16(0), uint8(0)))
+		return simwire.Record(uint8(24), instance, sim.lastTaskID, node, 30.0, sim.now+30, class, uint64(3), uint8(16), cores, memory, service, uint16(0))
 	}
 	if sim.rng.IntN(15) == 0 {
-		sim.later(0.5, simwire.Record(uint8(22), instance, sim.nextID))
+		sim.schedule(0.5, simwire.Record(uint8(22), instance, sim.lastTaskID))
 	}
-	return simwire.Record(uint8(18), instance, sim.nextID, class, uint16(sim.rng.IntN(2)), uint64(3), sim.now+4, 30.0, service, cores, memory,
+	return simwire.Record(uint8(18), instance, sim.lastTaskID, class, uint16(sim.rng.IntN(2)), uint64(3), sim.now+4, 30.0, service, cores, memory,
 		uint8(sim.rng.IntN(32)))
 }
 
-// unmatchedRecords are records for instances, tasks and timers that do not exist, and of codes that have no use.
-func (sim *peer) unmatchedRecords() [][]byte {
+// unmatchedRecords returns records for scheduler instances, tasks and timers that do not exist, records with event codes
+// that the adapter does not use, and the start and stop of another instance.
+func (sim *fakeSimulator) unmatchedRecords() [][]byte {
 	address := nodeAddress(3)
 	return [][]byte{
 		simwire.Record(uint8(22), uint32(77), uint64(1)),
@@ -164,126 +172,131 @@
 		simwire.Record(uint8(25), uint32(1), uint64(1)<<50, uint8(9), 0.1, address),
 		simwire.Record(uint8(20), uint32(0), uint16(253), address, 0.5, uint8(1), float32(2)),
 		simwire.Record(uint8(28), uint32(1), uint32(0), uint16(3), []byte("abc")),
-		simwire.Record(uint8(19), uint32(5), uint64(sim.number), uint32(len(pushSettings)), []byte(pushSettings)),
+		simwire.Record(uint8(19), uint32(5), uint64(sim.batchNumber), uint32(len(pushSettings)), []byte(pushSettings)),
 		simwire.Record(uint8(23), uint32(5)),
 	}
 }
 
-func (sim *peer) later(seconds float64, planned []byte) {
-	sim.waiting = append(sim.waiting, pendingRecord{sim.now + seconds, planned})
+// schedule schedules a record to be sent after the given delay.
+func (sim *fakeSimulator) schedule(delaySeconds float64, record []byte) {
+	sim.scheduled = append(sim.scheduled, scheduledRecord{sim.now + delaySeconds, record})
 }
 
-// Write receives one reply.
-func (sim *peer) Write(reply []byte) (int, error) {
+// Write receives one reply, executes its actions and adds a checkpoint at regular intervals.
+func (sim *fakeSimulator) Write(reply []byte) (int, error) {
 	sim.digest.Write(reply)
-	sim.replies++
-	sim.carryOut(reply[12:])
-	if sim.replies%checkpointEvery == 0 {
-		fmt.Fprintf(&sim.text, "%d offers %d refusals %d failures %d timers %d watches %d moves %d %x\n", sim.replies, sim.actions[86],
-			sim.actions[85], sim.actions[83], sim.actions[92], sim.actions[91], sim.actions[87], sim.digest.Sum(nil))
+	sim.replyCount++
+	sim.executeActions(reply[12:])
+	if sim.replyCount%batchesPerCheckpoint == 0 {
+		fmt.Fprintf(&sim.checkpoints, "%d offers %d refusals %d failures %d timers %d watches %d moves %d %x\n", sim.replyCount, sim.actionCounts[86],
+			sim.actionCounts[85], sim.actionCounts[83], sim.actionCounts[92], sim.actionCounts[91], sim.actionCounts[87], sim.digest.Sum(nil))
 	}
 	return len(reply), nil
 }
 
-// carryOut reads the actions of a reply and schedules their results.
-func (sim *peer) carryOut(actions []byte) {
+// executeActions reads the actions of a reply and schedules the event records that result from them.
+func (sim *fakeSimulator) executeActions(actions []byte) {
 	for len(actions) > 0 {
 		code, instance := actions[0], binary.LittleEndian.Uint32(actions[1:])
 		fields := actions[5:]
-		sim.actions[code]++
+		sim.actionCounts[code]++
 		switch code {
 		case 86:
-			sim.attemptStarted(instance, binary.LittleEndian.Uint64(fields), [6]byte(fields[16:22]))
+			sim.scheduleAttemptOutcome(instance, binary.LittleEndian.Uint64(fields), [6]byte(fields[16:22]))
 			actions = fields[22:]
 		case 92:
 			after := math.Float64frombits(binary.LittleEndian.Uint64(fields[8:]))
-			sim.later(after, simwire.Record(uint8(21), instance, binary.LittleEndian.Uint64(fields)))
+			sim.schedule(after, simwire.Record(uint8(21), instance, binary.LittleEndian.Uint64(fields)))
 			actions = fields[16:]
 		case 87:
 			id := binary.LittleEndian.Uint64(fields)
-			sim.later(0.2, simwire.Record(uint8(17), instance, id, [6]byte{}, 1.0, uint8(7), uint8(0), uint8(1), uint16(250), uint8(0)))
+			sim.schedule(0.2, simwire.Record(uint8(17), instance, id, [6]byte{}, 1.0, uint8(7), uint8(0), uint8(1), uint16(250), uint8(0)))
 			actions = fields[8:]
 		case 85:
 			actions = fields[16:]
 		case 83:
 			actions = fields[8:]
 		case 91:
-			sim.later(0.1, sim.nodesListed(instance))
+			sim.schedule(0.1, sim.nodesListedRecord(instance))
 			actions = fields[1:]
 		default:
-			sim.problem = fmt.Errorf("reply %d: action of code %d", sim.replies, code)
+			sim.actionError = fmt.Errorf("reply %d contains an unexpected action with code %d", sim.replyCount, code)
 			return
 		}
 	}
 }
 
-// attemptStarted draws the outcome of an attempt. The action does not carry its number, so outcomes are sent for several.
-func (sim *peer) attemptStarted(instance uint32, id uint64, node [6]byte) {
-	status := []uint16{0, 255, 254, 254, 253, 252, 251, 250, 249}
-	ends := func(after float64, attempt int) {
-		load := sim.load(instance, node)
-		ended := simwire.Record(uint8(17), instance, id, node, 0.1, uint8(sim.rng.IntN(8)), uint8(attempt), uint8(sim.rng.IntN(2)),
-			status[sim.rng.IntN(len(status))], uint8(len(load)), load)
-		sim.later(after, ended)
+// scheduleAttemptOutcome schedules a random outcome of an attempt. The action does not contain the attempt number, so
+// outcomes of an attempt that is not bound are scheduled for four attempt numbers.
+func (sim *fakeSimulator) scheduleAttemptOutcome(instance uint32, taskID uint64, node [6]byte) {
+	statuses := []uint16{0, 255, 254, 254, 253, 252, 251, 250, 249}
+	scheduleEnd := func(delaySeconds float64, attempt int) {
+		values := sim.loadValues(instance, node)
+		endRecord := simwire.Record(uint8(17), instance, taskID, node, 0.1, uint8(sim.rng.IntN(8)), uint8(attempt), uint8(sim.rng.IntN(2)),
+			statuses[sim.rng.IntN(len(statuses))], uint8(len(values)), values)
+		sim.schedule(delaySeconds, endRecord)
 	}
 	if sim.rng.IntN(3) > 0 {
-		sim.later(0.1, simwire.Record(uint8(25), instance, id, uint8(0), 0.1, node))
-		for sort := range 5 {
-			sim.later(0.3, simwire.Record(uint8(27), instance, id, uint8(0), node, uint8(sort+1), sim.rng.Float32()))
+		sim.schedule(0.1, simwire.Record(uint8(25), instance, taskID, uint8(0), 0.1, node))
+		for usageKind := range 5 {
+			sim.schedule(0.3, simwire.Record(uint8(27), instance, taskID, uint8(0), node, uint8(usageKind+1), sim.rng.Float32()))
 		}
-		ends(1+6*sim.rng.Float64(), 0)
+		scheduleEnd(1+6*sim.rng.Float64(), 0)
 		return
 	}
 	for attempt := range 4 {
-		ends(0.1+0.3*sim.rng.Float64()*float64(attempt+1), attempt)
+		scheduleEnd(0.1+0.3*sim.rng.Float64()*float64(attempt+1), attempt)
 	}
 }
 
-// load is a report with values for all, some or more than the fields of the instance's settings.
-func (sim *peer) load(instance uint32, node [6]byte) []float32 {
-	size := float32(8 * (1 + node[3]%2))
-	free, freeMemory, busy := size*(0.8+0.1*sim.rng.Float32()), 2*size*(0.8+0.1*sim.rng.Float32()), 0.3*sim.rng.Float32()
-	all := []float32{free, freeMemory, busy, 2, 9}
+// loadValues returns the values of a load report. Their number can be smaller or larger than the number of report fields
+// in the settings of the instance.
+func (sim *fakeSimulator) loadValues(instance uint32, node [6]byte) []float32 {
+	nodeCores := float32(8 * (1 + node[3]%2))
+	freeCores, freeMemory, utilization := nodeCores*(0.8+0.1*sim.rng.Float32()), 2*nodeCores*(0.8+0.1*sim.rng.Float32()), 0.3*sim.rng.Float32()
+	allValues := []float32{freeCores, freeMemory, utilization, 2, 9}
 	if instance == 0 {
-		all = []float32{freeMemory, busy, 9, 9, 9}
+		allValues = []float32{freeMemory, utilization, 9, 9, 9}
 	}
-	return all[:sim.rng.IntN(len(all)+1)]
+	return allValues[:sim.rng.IntN(len(allValues)+1)]
 }
 
+// TestCharacterizationOfARun pins the replies and the warnings of a run with two scheduler instances.
 func TestCharacterizationOfARun(t *testing.T) {
-	sim := &peer{rng: rand.New(rand.NewPCG(6, 8)), now: 50, digest: sha256.New()}
-	var problems bytes.Buffer
-	if err := simadapter.Run(sim, sim, &problems); err != nil {
+	simulator := &fakeSimulator{rng: rand.New(rand.NewPCG(6, 8)), now: 50, digest: sha256.New()}
+	var warnings bytes.Buffer
+	if err := simadapter.Run(simulator, simulator, &warnings); err != nil {
 		t.Fatal(err)
 	}
-	if sim.problem != nil {
-		t.Fatal(sim.problem)
+	if simulator.actionError != nil {
+		t.Fatal(simulator.actionError)
 	}
-	fmt.Fprintf(&sim.text, "problems %d %x\n", bytes.Count(problems.Bytes(), []byte("\n")), sha256.Sum256(problems.Bytes()))
-	goldentest.CheckText(t, "run", sim.text.String())
+	fmt.Fprintf(&simulator.checkpoints, "problems %d %x\n", bytes.Count(warnings.Bytes(), []byte("\n")), sha256.Sum256(warnings.Bytes()))
+	goldentest.CheckText(t, "run", simulator.checkpoints.String())
 }
 
-// TestCharacterizationOfRefusedInput pins which codes of lists and outcomes the adapter rejects: 1 for rejected.
+// TestCharacterizationOfRefusedInput pins which list kinds, list numbers and attempt outcomes the adapter rejects. The
+// golden file contains 1 for a rejected value and 0 for an accepted value.
 func TestCharacterizationOfRefusedInput(t *testing.T) {
 	var text strings.Builder
-	rejected := func(last []byte) {
-		begin := simwire.Record(uint8(19), uint32(0), uint64(9), uint32(len(pushSettings)), []byte(pushSettings))
-		if simadapter.Run(bytes.NewReader(simwire.Batch(1, 50, begin, last)), io.Discard, io.Discard) != nil {
+	writeRejected := func(testedRecord []byte) {
+		startRecord := simwire.Record(uint8(19), uint32(0), uint64(9), uint32(len(pushSettings)), []byte(pushSettings))
+		if simadapter.Run(bytes.NewReader(simwire.Batch(1, 50, startRecord, testedRecord)), io.Discard, io.Discard) != nil {
 			text.WriteByte('1')
 		} else {
 			text.WriteByte('0')
 		}
 	}
-	for kind := range 16 {
-		rejected(simwire.Record(uint8(26), uint32(0), uint8(kind), uint32(1), uint8(0)))
+	for listKind := range 16 {
+		writeRejected(simwire.Record(uint8(26), uint32(0), uint8(listKind), uint32(1), uint8(0)))
 	}
 	text.WriteByte('\n')
-	for sheet := range 20 {
-		rejected(simwire.Record(uint8(26), uint32(0), uint8(0), uint32(1), uint8(sheet)))
+	for listNumber := range 20 {
+		writeRejected(simwire.Record(uint8(26), uint32(0), uint8(0), uint32(1), uint8(listNumber)))
 	}
 	text.WriteByte('\n')
 	for status := range 260 {
-		rejected(simwire.Record(uint8(17), uint32(0), uint64(1), [6]byte{}, 0.1, uint8(0), uint8(0), uint8(0), uint16(status), uint8(0)))
+		writeRejected(simwire.Record(uint8(17), uint32(0), uint64(1), [6]byte{}, 0.1, uint8(0), uint8(0), uint8(0), uint16(status), uint8(0)))
 	}
 	text.WriteByte('\n')
 	goldentest.CheckText(t, "refused", text.String())
--- a/internal/simbridge/simadapter/equivalence_drivers_test.go
+++ b/internal/simbridge/simadapter/equivalence_drivers_test.go
@@ -12,26 +12,28 @@
 	"heathshed/placer"
 )
 
-// Numbers of the simulator's protocol, stated apart from package simproto, so that these tests notice a change of them.
+// These numbers of the simulator's protocol do not use the constants of package simproto, so the tests fail if those
+// constants change.
 const (
-	wireCancelled  = 250
-	wireLost       = 251
-	wireTimedOut   = 253
-	wireRejected   = 254
-	wireErrored    = 255
-	wireListCached = 1
-	wireNodeReady  = 1
+	wireStatusCancelled = 250
+	wireStatusLost      = 251
+	wireStatusTimedOut  = 253
+	wireStatusRejected  = 254
+	wireStatusErrored   = 255
+	wireListKindCached  = 1
+	wireNodeStateReady  = 1
 )
 
-// recorder records the events and actions of a step of a placer that the dispatch core drives.
-type recorder struct {
+// recordingPlacer passes the events of the dispatch core to a placer and records them with the resulting actions.
+type recordingPlacer struct {
 	placer      *placer.Placer
 	events      []string
 	actions     []placer.Action
 	firedTimers []uint64
 }
 
-// describeEvent returns an event as text, since NaN, the value of a field that is not reported, equals nothing.
+// describeEvent returns an event as text. Texts are compared instead of events because a field of a load report that is not
+// reported is NaN, and NaN does not equal itself.
 func describeEvent(event placer.Event) string {
 	report := event.Report
 	event.Report = nil
@@ -41,39 +43,40 @@
 	return fmt.Sprintf("%+v with %+v", event, *report)
 }
 
-func (r *recorder) Handle(now placer.Seconds, event placer.Event, actions []placer.Action) []placer.Action {
+func (r *recordingPlacer) Handle(now placer.Seconds, event placer.Event, actions []placer.Action) []placer.Action {
 	r.events = append(r.events, describeEvent(event))
-	before := len(actions)
+	previousCount := len(actions)
 	actions = r.placer.Handle(now, event, actions)
-	r.actions = append(r.actions, actions[before:]...)
+	r.actions = append(r.actions, actions[previousCount:]...)
 	if event.Kind == placer.TimerFired {
 		r.firedTimers = append(r.firedTimers, event.Token)
 	}
 	return actions
 }
 
-// twoDrivers drives the simulator's adapter and the dispatch core through the same events.
-type twoDrivers struct {
-	t              *testing.T
-	adapter        *adapter
-	core           *dispatch.Core
-	recorder       *recorder
-	now            placer.Seconds
-	adapterEvents  []string // translated by the adapter
-	adapterActions []placer.Action
-	attempts       map[uint64]*dispatch.Attempt // by task
-	outstanding    map[uint64]placer.Action
+// driverPair sends the same events to the simulator's adapter and to the dispatch core, which each drive a placer.
+type driverPair struct {
+	t                *testing.T
+	adapter          *adapter
+	core             *dispatch.Core
+	recorder         *recordingPlacer
+	now              placer.Seconds
+	adapterEvents    []string // adapterEvents holds the events that the adapter translated.
+	adapterActions   []placer.Action
+	platformAttempts map[uint64]*dispatch.Attempt // platformAttempts holds the attempts of the dispatch core by task ID.
+	pendingStarts    map[uint64]placer.Action
 }
 
-func (drivers *twoDrivers) sendToAdapter(event simproto.Event) {
+// sendToAdapter sends an event to the adapter and records the translated event and the resulting actions.
+func (drivers *driverPair) sendToAdapter(event simproto.Event) {
 	drivers.t.Helper()
 	event.Instance = testInstance
 	if target := drivers.adapter.instances[testInstance]; target != nil {
-		translated, used, err := target.translate(&event, &drivers.adapter.lists)
+		translated, relevant, err := target.translateEvent(&event, &drivers.adapter.nodeLists)
 		if err != nil {
 			drivers.t.Fatal(err)
 		}
-		if used {
+		if relevant {
 			drivers.adapterEvents = append(drivers.adapterEvents, describeEvent(translated))
 		}
 	}
@@ -84,96 +87,101 @@
 	drivers.adapterActions = append(drivers.adapterActions, drivers.adapter.actions...)
 }
 
-// compare compares what both did in this step and records the attempts.
-func (drivers *twoDrivers) compare(step string) {
+// compareAndReset starts the attempts that the dispatch core has ready, compares the recorded events and actions of both
+// drivers, and then clears these records.
+func (drivers *driverPair) compareAndReset(step string) {
 	drivers.t.Helper()
 	for _, effect := range drivers.core.Ready() {
 		if effect.Kind == dispatch.SendAttempt {
 			if !drivers.core.PrepareSend(drivers.now, effect.Attempt) {
-				drivers.t.Fatalf("%s: attempt not allowed to start", step)
+				drivers.t.Fatalf("%s: dispatch core refused to send a ready attempt", step)
 			}
-			drivers.attempts[uint64(effect.Attempt.Message.ID)] = effect.Attempt
+			drivers.platformAttempts[uint64(effect.Attempt.Message.ID)] = effect.Attempt
 		}
 	}
 	for _, action := range drivers.recorder.actions {
 		if action.Kind == placer.StartAttempt {
-			drivers.outstanding[uint64(action.Task)] = action
+			drivers.pendingStarts[uint64(action.Task)] = action
 		}
 	}
 	if !reflect.DeepEqual(drivers.adapterEvents, drivers.recorder.events) {
-		drivers.t.Fatalf("%s: events\nsimulator %v\nplatform  %v", step, drivers.adapterEvents, drivers.recorder.events)
+		drivers.t.Fatalf("%s: events for the placer differ\nsimulator %v\nplatform  %v", step, drivers.adapterEvents, drivers.recorder.events)
 	}
 	if !reflect.DeepEqual(drivers.adapterActions, drivers.recorder.actions) {
-		drivers.t.Fatalf("%s:\nsimulator %+v\nplatform  %+v", step, drivers.adapterActions, drivers.recorder.actions)
+		drivers.t.Fatalf("%s: actions of the placer differ\nsimulator %+v\nplatform  %+v", step, drivers.adapterActions, drivers.recorder.actions)
 	}
 	drivers.adapterEvents, drivers.recorder.events, drivers.adapterActions, drivers.recorder.actions = nil, nil, nil, nil
 }
 
-// advance advances the time and fires the timers of both.
-func (drivers *twoDrivers) advance(to placer.Seconds) {
+// advance advances the time and fires the due timers of both drivers.
+func (drivers *driverPair) advance(until placer.Seconds) {
 	drivers.t.Helper()
-	for drivers.core.NextTimer() <= to {
+	for drivers.core.NextTimer() <= until {
 		drivers.now = drivers.core.NextTimer()
 		drivers.recorder.firedTimers = nil
 		drivers.core.Advance(drivers.now)
 		for _, token := range drivers.recorder.firedTimers {
 			drivers.sendToAdapter(simproto.Event{Code: simproto.EventTimerFired, Token: token})
 		}
-		for id, started := range drivers.outstanding { // attempts that time out
-			attempt := drivers.attempts[id]
+		// The adapter receives a timeout event for each attempt that has timed out in the dispatch core.
+		for id, started := range drivers.pendingStarts {
+			attempt := drivers.platformAttempts[id]
 			if started.Until <= drivers.now && attempt != nil && !attempt.Live() {
-				drivers.sendToAdapter(drivers.attemptEvent(id, simproto.Event{Status: wireTimedOut}))
-				delete(drivers.outstanding, id)
+				drivers.sendToAdapter(drivers.completeAttemptEvent(id, simproto.Event{Status: wireStatusTimedOut}))
+				delete(drivers.pendingStarts, id)
 			}
 		}
-		drivers.compare(fmt.Sprintf("at %v", drivers.now))
+		drivers.compareAndReset(fmt.Sprintf("timers at %v s", drivers.now))
 	}
-	drivers.now = to
+	drivers.now = until
 }
 
-// attemptEvent completes the simulator's event on the outstanding attempt for a task, which by default is its end.
-func (drivers *twoDrivers) attemptEvent(id uint64, event simproto.Event) simproto.Event {
-	started := drivers.outstanding[id]
+// completeAttemptEvent sets the task, attempt, node and elapsed time of the simulator's event for the pending attempt of a
+// task. An event without a code becomes EventAttemptEnded.
+func (drivers *driverPair) completeAttemptEvent(id uint64, event simproto.Event) simproto.Event {
+	started := drivers.pendingStarts[id]
 	if event.Code == 0 {
 		event.Code = simproto.EventAttemptEnded
 	}
 	event.TaskID, event.Attempt, event.Node = id, uint8(started.Attempt), simproto.NodeAddress(started.Node)
-	event.Elapsed = drivers.attempts[id].Age(drivers.now)
+	event.Elapsed = drivers.platformAttempts[id].Age(drivers.now)
 	return event
 }
 
-// launch has a client request the task with the ID from both.
-func (drivers *twoDrivers) launch(id uint64) {
+// requestTask sends a placement request for the task with the given ID to both drivers.
+func (drivers *driverPair) requestTask(id uint64) {
 	drivers.t.Helper()
-	class, name, service := uint16(0), "query", 10+(id-1)%5
+	class, className, serviceID := uint16(0), "query", 10+(id-1)%5
 	if id%3 == 2 {
-		class, name = 1, "seats"
+		class, className = 1, "seats"
 	}
 	message := protocol.Message{Kind: protocol.Launch, UID: fmt.Sprintf("%016x", id), ID: protocol.ID(id), Body: `"x"`}
-	message.Set(protocol.Class, name)
+	message.Set(protocol.Class, className)
 	message.Set(protocol.Tenant, "south")
 	message.Set(protocol.Key, message.UID)
 	message.Set(protocol.TimeLeft, "4000")
-	message.Set(protocol.Extras, fmt.Sprintf("cores:1.5;memory:2;service:%016d", service))
+	message.Set(protocol.Extras, fmt.Sprintf("cores:1.5;memory:2;service:%016d", serviceID))
 	drivers.sendFromClient(message)
-	number, err := strconv.ParseUint(strconv.FormatUint(service, 10), 16, 64) // the platform's IDs are hexadecimal
+	// The platform parses service IDs as hexadecimal numbers.
+	parsedServiceID, err := strconv.ParseUint(strconv.FormatUint(serviceID, 10), 16, 64)
 	if err != nil {
 		drivers.t.Fatal(err)
 	}
-	drivers.sendToAdapter(simproto.Event{Code: simproto.EventTaskArrived, TaskID: id, Class: class, Tenant: 1, Service: number,
+	drivers.sendToAdapter(simproto.Event{Code: simproto.EventTaskArrived, TaskID: id, Class: class, Tenant: 1, Service: parsedServiceID,
 		Cores: 1.5, Memory: 2, Deadline: drivers.now + 4})
-	drivers.compare("launch")
+	drivers.compareAndReset("placement request")
 }
 
-func (drivers *twoDrivers) sendFromClient(message protocol.Message) {
+// sendFromClient has client 1 send a message to the dispatch core.
+func (drivers *driverPair) sendFromClient(message protocol.Message) {
 	drivers.t.Helper()
 	if err := drivers.core.ReceiveFromClient(drivers.now, 1, &message); err != nil {
 		drivers.t.Fatal(err)
 	}
 }
 
-// sendFromNode has the node of the attempt for a task send a message about it to the dispatch core.
-func (drivers *twoDrivers) sendFromNode(id uint64, message protocol.Message) {
+// sendFromNode sends the dispatch core a message about a task from the node of the task's attempt.
+func (drivers *driverPair) sendFromNode(id uint64, message protocol.Message) {
 	message.ID, message.UID = protocol.ID(id), fmt.Sprintf("%016x", id)
-	drivers.core.ReceiveFromNode(drivers.now, drivers.attempts[id].Node, &message)
+	drivers.core.ReceiveFromNode(drivers.now, drivers.platformAttempts[id].Node, &message)
 }
--- a/internal/simbridge/simadapter/equivalence_test.go
+++ b/internal/simbridge/simadapter/equivalence_test.go
@@ -12,128 +12,133 @@
 	"heathshed/placer"
 )
 
-// startDrivers starts the adapter and the core with the same settings, seed and six nodes.
-func startDrivers(t *testing.T) *twoDrivers {
+// newDriverPair starts the adapter and the dispatch core with the same settings, the same seed and the same six nodes.
+func newDriverPair(t *testing.T) *driverPair {
 	t.Helper()
 	settings, err := simconfig.Parse([]byte(testSettingsWithNames))
 	if err != nil {
 		t.Fatal(err)
 	}
-	policy, err := placer.New(settings.Placer, 9)
+	corePlacer, err := placer.New(settings.Placer, 9)
 	if err != nil {
 		t.Fatal(err)
 	}
-	drivers := &twoDrivers{
-		t:           t,
-		adapter:     &adapter{instances: map[uint32]*instance{}},
-		recorder:    &recorder{placer: policy},
-		now:         1000,
-		attempts:    map[uint64]*dispatch.Attempt{},
-		outstanding: map[uint64]placer.Action{},
+	drivers := &driverPair{
+		t:                t,
+		adapter:          &adapter{instances: map[uint32]*instance{}},
+		recorder:         &recordingPlacer{placer: corePlacer},
+		now:              1000,
+		platformAttempts: map[uint64]*dispatch.Attempt{},
+		pendingStarts:    map[uint64]placer.Action{},
 	}
-	var nodes []string
-	var entries []simproto.NodeEntry
-	for rack, uid := range nodeNamesByID(6) {
-		nodes = append(nodes, fmt.Sprintf(`{"uid":%q,"endpoint":"127.0.0.1:1","az":"b","model":"large","pod_group":%d,
+	var rosterEntries []string
+	var listEntries []simproto.NodeEntry
+	for rack, uid := range nodeNamesInIDOrder(6) {
+		rosterEntries = append(rosterEntries, fmt.Sprintf(`{"uid":%q,"endpoint":"127.0.0.1:1","az":"b","model":"large","pod_group":%d,
 			"state":"in_service","boot_ms":0,"open":[14,30]}`, uid, rack))
-		entries = append(entries, simproto.NodeEntry{Node: simproto.NodeAddress(dispatch.NodeIDOf(uid)), Zone: 1, NodeType: 1,
-			FreeCores: 14, FreeMemory: 30, Rack: uint16(rack), State: wireNodeReady})
+		listEntries = append(listEntries, simproto.NodeEntry{Node: simproto.NodeAddress(dispatch.NodeIDOf(uid)), Zone: 1, NodeType: 1,
+			FreeCores: 14, FreeMemory: 30, Rack: uint16(rack), State: wireNodeStateReady})
 	}
-	known := `{"no":3,"items":[{"no":3,"roster":{"rev":1,"all":true,"targets":[` + strings.Join(nodes, ",") + `]}}]}`
-	if drivers.core, err = dispatch.New(drivers.now, settings, drivers.recorder, []byte(known)); err != nil {
+	initialRoster := `{"no":3,"items":[{"no":3,"roster":{"rev":1,"all":true,"targets":[` + strings.Join(rosterEntries, ",") + `]}}]}`
+	if drivers.core, err = dispatch.New(drivers.now, settings, drivers.recorder, []byte(initialRoster)); err != nil {
 		t.Fatal(err)
 	}
 	drivers.adapter.writer.Start(1)
 	drivers.sendToAdapter(simproto.Event{Code: simproto.EventInstanceStart, Seed: 9, Settings: []byte(testSettingsWithNames)})
-	drivers.sendToAdapter(simproto.Event{Code: simproto.EventDefineList, Entries: entries})
-	drivers.sendToAdapter(simproto.Event{Code: simproto.EventNodesListed, ListKind: wireListCached})
-	drivers.compare("start")
+	drivers.sendToAdapter(simproto.Event{Code: simproto.EventDefineList, Entries: listEntries})
+	drivers.sendToAdapter(simproto.Event{Code: simproto.EventNodesListed, ListKind: wireListKindCached})
+	drivers.compareAndReset("initial node list")
 	drivers.core.ClientConnected(drivers.now, 1)
 	return drivers
 }
 
-func with(message protocol.Message, field protocol.Field, value string) protocol.Message {
+// withField returns a copy of the message with the field set to the value.
+func withField(message protocol.Message, field protocol.Field, value string) protocol.Message {
 	message.Set(field, value)
 	return message
 }
 
-func stop(cause protocol.Cause) protocol.Message {
+// stopMessage returns a message that ends or withdraws a task for the given cause.
+func stopMessage(cause protocol.Cause) protocol.Message {
 	return protocol.Message{Kind: protocol.Stop, Cause: cause, HasCause: true}
 }
 
-// bind has the node accept the attempt for a task and report its usage, and then end it if ends is set.
-func (drivers *twoDrivers) bind(id uint64, ends bool) {
+// bindAttempt makes the node accept the attempt for a task and report the usage of the task. If finishes is set, the node
+// then reports the end of the task.
+func (drivers *driverPair) bindAttempt(id uint64, finishes bool) {
 	drivers.t.Helper()
 	drivers.sendFromNode(id, protocol.Message{Kind: protocol.Running, Body: `"y"`})
-	drivers.sendToAdapter(drivers.attemptEvent(id, simproto.Event{Code: simproto.EventAttemptBound}))
-	drivers.compare("running")
-	update := with(protocol.Message{Kind: protocol.Update}, protocol.Note, "cpu")
-	drivers.sendFromNode(id, with(update, protocol.Value, "0.75"))
-	usage := drivers.attemptEvent(id, simproto.Event{Code: simproto.EventUsageReported, UsageKind: 2, Value: 0.75})
+	drivers.sendToAdapter(drivers.completeAttemptEvent(id, simproto.Event{Code: simproto.EventAttemptBound}))
+	drivers.compareAndReset("acceptance of the attempt")
+	update := withField(protocol.Message{Kind: protocol.Update}, protocol.Note, "cpu")
+	drivers.sendFromNode(id, withField(update, protocol.Value, "0.75"))
+	usage := drivers.completeAttemptEvent(id, simproto.Event{Code: simproto.EventUsageReported, UsageKind: 2, Value: 0.75})
 	drivers.sendToAdapter(usage)
-	if ends {
-		drivers.sendFromNode(id, with(stop(16), protocol.LoadReport, "x1:3;utilization:0.5"))
-		drivers.sendToAdapter(drivers.attemptEvent(id, simproto.Event{Final: 1, LoadValues: []float32{3, 0.5}}))
+	if finishes {
+		drivers.sendFromNode(id, withField(stopMessage(16), protocol.LoadReport, "x1:3;utilization:0.5"))
+		drivers.sendToAdapter(drivers.completeAttemptEvent(id, simproto.Event{Final: 1, LoadValues: []float32{3, 0.5}}))
 	}
 }
 
+// A placer that is tested in the simulator must receive the same events on the platform. The test applies the same requests,
+// answers, failures and timeouts to both drivers, and fails at the first step whose events or actions differ.
 func TestSimulatorAndPlatformGiveThePlacerTheSameEvents(t *testing.T) {
-	drivers := startDrivers(t)
+	drivers := newDriverPair(t)
 	outcomes := map[int]func(id uint64) simproto.Event{
 		3: func(id uint64) simproto.Event {
-			drivers.sendFromNode(id, with(with(stop(34), protocol.Note, "mem_full"), protocol.LoadReport, "x1:0.25;utilization:1"))
-			return simproto.Event{Status: wireRejected, Reason: 2, LoadValues: []float32{0.25, 1}}
+			drivers.sendFromNode(id, withField(withField(stopMessage(34), protocol.Note, "mem_full"), protocol.LoadReport, "x1:0.25;utilization:1"))
+			return simproto.Event{Status: wireStatusRejected, Reason: 2, LoadValues: []float32{0.25, 1}}
 		},
 		4: func(id uint64) simproto.Event {
-			drivers.sendFromNode(id, stop(47))
-			return simproto.Event{Status: wireErrored}
+			drivers.sendFromNode(id, stopMessage(47))
+			return simproto.Event{Status: wireStatusErrored}
 		},
 		5: func(id uint64) simproto.Event {
-			drivers.core.ConnectionLost(drivers.now, drivers.attempts[id])
-			return simproto.Event{Status: wireLost}
+			drivers.core.ConnectionLost(drivers.now, drivers.platformAttempts[id])
+			return simproto.Event{Status: wireStatusLost}
 		},
 		6: func(id uint64) simproto.Event {
-			message := stop(16)
+			message := stopMessage(16)
 			message.ID, message.UID = protocol.ID(id), fmt.Sprintf("%016x", id)
 			drivers.sendFromClient(message)
 			drivers.sendToAdapter(simproto.Event{Code: simproto.EventTaskWithdrawn, TaskID: id})
-			return simproto.Event{Status: wireCancelled, Final: 1}
+			return simproto.Event{Status: wireStatusCancelled, Final: 1}
 		},
 	}
 	for i := range 60 {
 		id := uint64(i + 1)
-		drivers.launch(id)
-		_, started := drivers.outstanding[id]
+		drivers.requestTask(id)
+		_, wasStarted := drivers.pendingStarts[id]
 		drivers.advance(drivers.now + 0.07)
-		if attempt := drivers.attempts[id]; !started || attempt == nil || !attempt.Unanswered() {
+		if attempt := drivers.platformAttempts[id]; !wasStarted || attempt == nil || !attempt.Unanswered() {
 			continue
 		}
-		switch kind := i % 8; kind {
+		switch scenario := i % 8; scenario {
 		case 0, 1, 2:
-			drivers.bind(id, kind > 0)
+			drivers.bindAttempt(id, scenario > 0)
 		case 7:
-			drivers.advance(drivers.now + 0.5) // the attempt is not answered
+			drivers.advance(drivers.now + 0.5) // The attempt receives no answer and times out.
 			continue
 		default:
-			drivers.sendToAdapter(drivers.attemptEvent(id, outcomes[kind](id)))
+			drivers.sendToAdapter(drivers.completeAttemptEvent(id, outcomes[scenario](id)))
 		}
-		delete(drivers.outstanding, id)
-		drivers.compare(fmt.Sprintf("outcome %d", i))
+		delete(drivers.pendingStarts, id)
+		drivers.compareAndReset(fmt.Sprintf("outcome of request %d", i))
 	}
 	counts := drivers.core.Counts
 	if counts.TimedOut == 0 || counts.CapacityRejections == 0 || counts.Bound < 5 {
-		t.Fatalf("too few outcomes: %+v", counts)
+		t.Fatalf("counts of outcomes %+v: want a timeout, a capacity rejection and at least 5 bound tasks", counts)
 	}
 }
 
-// nodeNamesByID returns n names of nodes in the order of their IDs, which is the order of a cached list.
-func nodeNamesByID(n int) []string {
-	var all []string
-	for i := 0; len(all) < n; i++ {
+// nodeNamesInIDOrder returns n node names in ascending order of their node IDs, which is the order of a cached node list.
+func nodeNamesInIDOrder(n int) []string {
+	var names []string
+	for i := 0; len(names) < n; i++ {
 		uid := fmt.Sprintf("s-%08x", i)
-		if len(all) == 0 || dispatch.NodeIDOf(uid) > dispatch.NodeIDOf(all[len(all)-1]) {
-			all = append(all, uid)
+		if len(names) == 0 || dispatch.NodeIDOf(uid) > dispatch.NodeIDOf(names[len(names)-1]) {
+			names = append(names, uid)
 		}
 	}
-	return all
+	return names
 }
--- a/internal/simbridge/simadapter/simadapter.go
+++ b/internal/simbridge/simadapter/simadapter.go
@@ -1,6 +1,6 @@
-// Package simadapter runs placers under the simulator: it translates the simulator's events for a placer and the
-// placer's actions for the simulator. Each scheduler instance has a Placer of its own; instances share nothing. The
-// command cmd/simadapter calls Run, which is where to begin reading.
+// Package simadapter runs placers under the simulator. It translates the events of the simulator into events of the placer,
+// and the actions of the placer into action records of the simulator's protocol. Each scheduler instance has its own
+// Placer, whose state is separate from all others. The command cmd/simadapter calls Run, which is the entry point.
 package simadapter
 
 import (
@@ -16,18 +16,17 @@
 
 const inputBufferBytes = 1 << 16
 
-// adapter owns the scheduler instances of a run and the node lists that the simulator has defined.
+// adapter owns the scheduler instances of a simulator run and the node lists that the simulator has defined.
 type adapter struct {
 	instances map[uint32]*instance
-	lists     [simproto.MaxNodeLists][]placer.Node
+	nodeLists [simproto.MaxNodeLists][]placer.Node
 	writer    simproto.Writer
-	actions   []placer.Action // reused for each event
+	actions   []placer.Action // The buffer is reused for each event.
 	warnings  io.Writer
 }
 
-// Run reads batches of events from in and writes the replies to out until the input ends. For each event of an unknown
-// instance it writes a line to warnings. A batch that cannot be read to its end is not answered and ends the run with an
-// error.
+// Run reads batches of events from in and writes the replies to out until the input ends. It writes a line to warnings for
+// each event of an unknown scheduler instance. If a batch is invalid, Run returns an error and does not reply to it.
 func Run(in io.Reader, out io.Writer, warnings io.Writer) error {
 	reader := simproto.NewReader(bufio.NewReaderSize(in, inputBufferBytes))
 	a := &adapter{instances: map[uint32]*instance{}, warnings: warnings}
@@ -43,12 +42,12 @@
 			return err
 		}
 		if _, err := out.Write(a.writer.Finish()); err != nil {
-			return fmt.Errorf("reply to batch %d: %w", batch.Number, err)
+			return fmt.Errorf("write reply to batch %d: %w", batch.Number, err)
 		}
 	}
 }
 
-// handleBatch handles all events of a batch and leaves the reply in the writer.
+// handleBatch handles all events of a batch and adds the resulting actions to the reply in the adapter's writer.
 func (a *adapter) handleBatch(reader *simproto.Reader, batch simproto.Batch) error {
 	var record simproto.Event
 	a.writer.Start(batch.Number)
@@ -66,18 +65,18 @@
 	return nil
 }
 
-// handleEvent handles one event of a batch at the time of the batch.
+// handleEvent handles one event. The argument now is the clock time of the batch that contains the event.
 func (a *adapter) handleEvent(now placer.Seconds, record *simproto.Event) error {
 	switch record.Code {
 	case simproto.EventDefineList:
-		a.defineList(record)
+		a.defineNodeList(record)
 		return nil
 	case simproto.EventInstanceStart:
-		started, err := newInstance(record)
+		newTarget, err := newInstance(record)
 		if err != nil {
 			return fmt.Errorf("instance %d: %w", record.Instance, err)
 		}
-		a.instances[record.Instance] = started
+		a.instances[record.Instance] = newTarget
 		return nil
 	case simproto.EventInstanceStop:
 		delete(a.instances, record.Instance)
@@ -85,77 +84,78 @@
 	}
 	target := a.instances[record.Instance]
 	if target == nil {
-		// The run continues even if the warning cannot be written.
+		// An error of this write is ignored because a lost warning must not end the run.
 		_, _ = fmt.Fprintf(a.warnings, "event %d for instance %d, which has not begun: skipped\n", record.Code, record.Instance)
 		return nil
 	}
-	event, used, err := target.translate(record, &a.lists)
-	if err != nil || !used {
+	event, relevant, err := target.translateEvent(record, &a.nodeLists)
+	if err != nil || !relevant {
 		return err
 	}
-	a.decide(now, record.Instance, target, event)
+	a.handlePlacerEvent(now, record.Instance, target, event)
 	return nil
 }
 
-// defineList replaces the node list with the record's number.
-func (a *adapter) defineList(record *simproto.Event) {
-	list := a.lists[record.ListNumber][:0]
+// defineNodeList replaces the node list that has the list number of the record.
+func (a *adapter) defineNodeList(record *simproto.Event) {
+	list := a.nodeLists[record.ListNumber][:0]
 	for i := range record.Entries {
 		list = append(list, translateNode(&record.Entries[i]))
 	}
-	a.lists[record.ListNumber] = list
+	a.nodeLists[record.ListNumber] = list
 }
 
-// decide passes one event to a placer and writes its actions. A panic of the placer is reported for the instance.
-func (a *adapter) decide(now placer.Seconds, id uint32, target *instance, event placer.Event) {
+// handlePlacerEvent passes one event to the placer of an instance and adds the resulting actions to the reply. If the
+// placer panics, the reply reports the panic for this instance.
+func (a *adapter) handlePlacerEvent(now placer.Seconds, instanceID uint32, target *instance, event placer.Event) {
 	defer func() {
-		if cause := recover(); cause != nil {
-			a.writer.ReportPanic(id, fmt.Sprintf("panic: %v", cause))
+		if panicValue := recover(); panicValue != nil {
+			a.writer.ReportPanic(instanceID, fmt.Sprintf("panic: %v", panicValue))
 		}
 	}()
 	a.actions = target.placer.Handle(now, event, a.actions[:0])
 	for i := range a.actions {
-		a.writeAction(id, &a.actions[i])
+		a.writeAction(instanceID, &a.actions[i])
 	}
 }
 
 // writeAction adds an action of a placer to the reply.
-func (a *adapter) writeAction(id uint32, action *placer.Action) {
-	task := uint64(action.Task)
+func (a *adapter) writeAction(instanceID uint32, action *placer.Action) {
+	taskID := uint64(action.Task)
 	switch action.Kind {
 	case placer.StartAttempt:
-		a.writer.StartAttempt(id, task, action.Until, simproto.NodeAddress(action.Node))
+		a.writer.StartAttempt(instanceID, taskID, action.Until, simproto.NodeAddress(action.Node))
 	case placer.Reject:
-		a.writer.Reject(id, task, action.After)
+		a.writer.Reject(instanceID, taskID, action.After)
 	case placer.Fail:
-		a.writer.Fail(id, task)
+		a.writer.Fail(instanceID, taskID)
 	case placer.SetTimer:
-		a.writer.SetTimer(id, action.Token, action.After)
+		a.writer.SetTimer(instanceID, action.Token, action.After)
 	case placer.WatchNodes:
-		a.writer.WatchNodes(id)
+		a.writer.WatchNodes(instanceID)
 	case placer.Migrate:
-		a.writer.Migrate(id, task)
+		a.writer.Migrate(instanceID, taskID)
 	case placer.ListNodes:
-		a.writer.ListNodes(id)
+		a.writer.ListNodes(instanceID)
 	}
 }
 
 // instance is one scheduler instance under simulation.
 type instance struct {
 	placer       *placer.Placer
-	reportFields []string      // names of the values of a load report
-	report       placer.Report // reused for each event
+	reportFields []string      // reportFields holds the names of the values of a load report.
+	loadReport   placer.Report // The report is reused for each event.
 }
 
-// newInstance starts an instance with the settings and the seed of the record.
+// newInstance creates a scheduler instance with the settings and the random seed of the record.
 func newInstance(record *simproto.Event) (*instance, error) {
 	settings, err := simconfig.Parse(record.Settings)
 	if err != nil {
 		return nil, err
 	}
-	started, err := placer.New(settings.Placer, record.Seed)
+	instancePlacer, err := placer.New(settings.Placer, record.Seed)
 	if err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
-	return &instance{placer: started, reportFields: settings.ReportFields}, nil
+	return &instance{placer: instancePlacer, reportFields: settings.ReportFields}, nil
 }
--- a/internal/simbridge/simadapter/simadapter_test.go
+++ b/internal/simbridge/simadapter/simadapter_test.go
@@ -20,92 +20,94 @@
  "loadReport":{"fields":["x1","utilization"],"how":"answers"},"permissions":{"mostTries":3},
  "rules":{"answerSlackS":0.01,"askWithinS":9,"fallS":1,"warmWithinS":8}}`
 
-// testSettingsWithNames is the same with the names of classes, tenants, zones and node types, as a scheduler in production
-// gets them.
+// testSettingsWithNames extends testSettings by the names of task classes, tenants, zones and node types. The settings of a
+// scheduler on the platform contain these names.
 var testSettingsWithNames = strings.NewReplacer(`"discovery":"push"`, `"discovery":"push","flavors":["small","large"],"zones":["a","b"],
  "orgs":[{"name":"north"},{"name":"south"}]`, `{"effect":"idempotent"`, `{"name":"query","effect":"idempotent"`,
 	`{"effect":"dedup`, `{"name":"seats","effect":"dedup`).Replace(testSettings)
 
-var node = [6]byte{10, 0, 0, 1, 1, 2}
+var testNodeAddress = [6]byte{10, 0, 0, 1, 1, 2}
 
-// testInstance is the instance that the tests start.
+// testInstance is the number of the scheduler instance that the tests start.
 const testInstance = uint32(4)
 
-// beginInstance returns records that start an instance and give it a list of one node, and the given ones.
-func beginInstance(settings string, more ...[]byte) [][]byte {
+// instanceStartRecords returns records that start the test instance and give it a list of one node, followed by the
+// further records.
+func instanceStartRecords(settings string, further ...[]byte) [][]byte {
 	return append([][]byte{
 		simwire.Record(uint8(19), testInstance, uint64(9), uint32(len(settings)), []byte(settings)),
-		simwire.Record(uint8(16), uint8(0), uint32(1), node, uint8(0), float32(8), uint8(0), uint16(1), float32(16), uint8(1), float32(1), 0.0),
+		simwire.Record(uint8(16), uint8(0), uint32(1), testNodeAddress, uint8(0), float32(8), uint8(0), uint16(1), float32(16), uint8(1), float32(1), 0.0),
 		simwire.Record(uint8(26), testInstance, uint8(1), uint32(1), uint8(0)),
-	}, more...)
+	}, further...)
 }
 
-// arrival is the record of a request for a task.
-func arrival(instance uint32, id uint64) []byte {
-	return simwire.Record(uint8(18), instance, id, uint16(0), uint16(0), uint64(1), 14.0, 0.0, uint64(4), float32(1), float32(1), uint8(0))
+// arrivalRecord returns the event record of a placement request for a task.
+func arrivalRecord(instance uint32, taskID uint64) []byte {
+	return simwire.Record(uint8(18), instance, taskID, uint16(0), uint16(0), uint64(1), 14.0, 0.0, uint64(4), float32(1), float32(1), uint8(0))
 }
 
-// run returns the reply to one batch of records and the warnings.
-func run(records ...[]byte) (reply, warnings string, err error) {
+// runBatch runs the adapter on one batch with the given records and returns the reply and the warnings.
+func runBatch(records ...[]byte) (reply, warnings string, err error) {
 	return runInput(simwire.Batch(1, 10, records...))
 }
 
-func runInput(in []byte) (replies, warnings string, err error) {
-	var out, problems bytes.Buffer
-	err = Run(bytes.NewReader(in), &out, &problems)
-	return out.String(), problems.String(), err
+// runInput runs the adapter on the given input bytes and returns all replies and warnings.
+func runInput(input []byte) (replies, warnings string, err error) {
+	var output, warningText bytes.Buffer
+	err = Run(bytes.NewReader(input), &output, &warningText)
+	return output.String(), warningText.String(), err
 }
 
 func TestTaskArrivalStartsAnAttempt(t *testing.T) {
-	out, _, err := run(beginInstance(testSettings, arrival(4, 77))...)
+	out, _, err := runBatch(instanceStartRecords(testSettings, arrivalRecord(4, 77))...)
 	if err != nil {
 		t.Fatal(err)
 	}
 	want := string(simwire.Record(uint8(86), uint32(4), uint64(77)))
-	if !strings.Contains(out, want) || !strings.HasSuffix(out, string(node[:])) {
-		t.Fatalf("no attempt on the node in %x", out)
+	if !strings.Contains(out, want) || !strings.HasSuffix(out, string(testNodeAddress[:])) {
+		t.Fatalf("reply %x contains no attempt to start task 77 on the only node", out)
 	}
 }
 
 func TestUnmatchedEventsAreIgnored(t *testing.T) {
-	plain, _, err := run(beginInstance(testSettings, arrival(4, 77))...)
+	wantReply, _, err := runBatch(instanceStartRecords(testSettings, arrivalRecord(4, 77))...)
 	if err != nil {
 		t.Fatal(err)
 	}
-	out, problems, err := run(beginInstance(testSettings,
-		arrival(8, 5), // an instance that has not begun
-		simwire.Record(uint8(22), uint32(4), uint64(12345)),                  // an unknown task
-		simwire.Record(uint8(21), uint32(4), uint64(99999)),                  // an unknown timer
-		simwire.Record(uint8(25), uint32(4), uint64(3), uint8(9), 0.1, node), // an unknown attempt
-		arrival(4, 77))...)
-	if err != nil || out != plain || !strings.Contains(problems, "has not begun") {
-		t.Fatalf("err %v, same %v, warnings %q", err, out == plain, problems)
+	reply, warnings, err := runBatch(instanceStartRecords(testSettings,
+		arrivalRecord(8, 5), // The scheduler instance does not exist.
+		simwire.Record(uint8(22), uint32(4), uint64(12345)),                             // The task does not exist.
+		simwire.Record(uint8(21), uint32(4), uint64(99999)),                             // The timer does not exist.
+		simwire.Record(uint8(25), uint32(4), uint64(3), uint8(9), 0.1, testNodeAddress), // The attempt does not exist.
+		arrivalRecord(4, 77))...)
+	if err != nil || reply != wantReply || !strings.Contains(warnings, "has not begun") {
+		t.Fatalf("reply with unmatched events: error %v, same as without them %v, warnings %q; want the same reply and a warning", err, reply == wantReply, warnings)
 	}
 }
 
 func TestInvalidInputEndsWithoutReply(t *testing.T) {
-	begin := func(settings string, more ...[]byte) []byte {
-		return simwire.Batch(1, 10, beginInstance(settings, more...)...)
+	startBatch := func(settings string, further ...[]byte) []byte {
+		return simwire.Batch(1, 10, instanceStartRecords(settings, further...)...)
 	}
-	for name, test := range map[string]struct {
-		in   []byte
-		want string
+	for name, testCase := range map[string]struct {
+		input     []byte
+		wantError string
 	}{
-		"no json":    {begin("{"), "settings"},
-		"effect":     {begin(strings.Replace(testSettings, "idempotent", "maybe", 1)), "lanes[0].effect"},
-		"place":      {begin(strings.Replace(testSettings, `"none","cell"`, `"moon"`, 1)), "apartBy[0]"},
-		"kinds":      {begin(strings.Replace(testSettings, `"kindMemory":[16,32]`, `"kindMemory":[16]`, 1)), "kindMemory"},
-		"attempts":   {begin(strings.Replace(testSettings, `"mostTries":3`, `"mostTries":0`, 1)), "attempts 0"},
-		"list kind":  {begin(testSettings, simwire.Record(uint8(26), uint32(4), uint8(9), uint32(1), uint8(0))), "list kind 9"},
-		"bytes left": {simwire.BatchOfCount(1, 10, 2, beginInstance(testSettings)...), "follow the last"},
+		"settings are not JSON":              {startBatch("{"), "settings"},
+		"unknown task effect":                {startBatch(strings.Replace(testSettings, "idempotent", "maybe", 1)), "lanes[0].effect"},
+		"unknown spread domain":              {startBatch(strings.Replace(testSettings, `"none","cell"`, `"moon"`, 1)), "apartBy[0]"},
+		"fewer memory sizes than node types": {startBatch(strings.Replace(testSettings, `"kindMemory":[16,32]`, `"kindMemory":[16]`, 1)), "kindMemory"},
+		"zero attempts allowed":              {startBatch(strings.Replace(testSettings, `"mostTries":3`, `"mostTries":0`, 1)), "attempts 0"},
+		"unknown list kind":                  {startBatch(testSettings, simwire.Record(uint8(26), uint32(4), uint8(9), uint32(1), uint8(0))), "unknown list kind 9"},
+		"bytes after the last record":        {simwire.BatchOfCount(1, 10, 2, instanceStartRecords(testSettings)...), "follow the last"},
 	} {
-		out, _, err := runInput(test.in)
-		if err == nil || !strings.Contains(err.Error(), test.want) || out != "" {
-			t.Errorf("%s: error %v, %d bytes out", name, err, len(out))
+		out, _, err := runInput(testCase.input)
+		if err == nil || !strings.Contains(err.Error(), testCase.wantError) || out != "" {
+			t.Errorf("%s: got error %v and %d bytes of replies, want a matching error and no reply", name, err, len(out))
 		}
 	}
 	if out, _, err := runInput(nil); err != nil || out != "" {
-		t.Errorf("end of input: %v", err)
+		t.Errorf("run with empty input: got error %v, want no error and no reply", err)
 	}
 }
 
@@ -114,34 +116,35 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	config, fields := settings.Placer, settings.ReportFields
+	config, reportFields := settings.Placer, settings.ReportFields
 	if config.Peers != (placer.Peers{Self: 1, Total: 2}) || config.Attempts.Max != 3 {
-		t.Errorf("peers %+v, attempts %+v", config.Peers, config.Attempts)
+		t.Errorf("got peers %+v and attempt settings %+v, want scheduler 1 of 2 peers and at most 3 attempts", config.Peers, config.Attempts)
 	}
 	if !config.NodeBehavior.AcknowledgesOnStart || !config.NodeBehavior.ReportsUsage {
-		t.Errorf("behavior of nodes %+v", config.NodeBehavior)
+		t.Errorf("got node behavior %+v, want acknowledgement on start and reports of usage", config.NodeBehavior)
 	}
 	class := config.Classes[1]
 	if class.Idempotency != placer.IdempotentByKey || class.DedupDomain != placer.RackDomain || class.DedupWindow != 3 ||
 		class.SpreadDomain != placer.RackDomain || class.MaxPerDomain != 2 {
-		t.Errorf("second class %+v", class)
+		t.Errorf("got second task class %+v, want deduplication and spread by rack as in testSettings", class)
 	}
-	if config.Classes[0].SpreadDomain != placer.NoDomain || config.NodeTypes[1].Memory != 32 || len(fields) != 2 {
-		t.Errorf("settings %+v", settings)
+	if config.Classes[0].SpreadDomain != placer.NoDomain || config.NodeTypes[1].Memory != 32 || len(reportFields) != 2 {
+		t.Errorf("got settings %+v, want no spread domain for the first task class, memory 32 for the second node type and 2 report fields", settings)
 	}
-	target := instance{reportFields: fields}
-	report := target.parseReport([]float32{3, 0.5})
+	target := instance{reportFields: reportFields}
+	report := target.parseLoadReport([]float32{3, 0.5})
 	if report.FreeMemory != 3 || report.Utilization != 0.5 || !math.IsNaN(report.FreeCores) {
-		t.Errorf("report %+v", report)
+		t.Errorf("got load report %+v, want free memory 3, utilization 0.5 and no free cores", report)
 	}
 }
 
 func TestPanicIsReportedForTheInstance(t *testing.T) {
-	broken := &adapter{instances: map[uint32]*instance{}}
-	broken.writer.Start(1)
-	broken.decide(10, testInstance, &instance{}, placer.Event{Kind: placer.Arrived}) // no placer: the call panics
-	out := string(broken.writer.Finish())
-	if out[12] != 90 || !strings.Contains(out, "panic") {
-		t.Fatalf("%x", out)
+	testAdapter := &adapter{instances: map[uint32]*instance{}}
+	testAdapter.writer.Start(1)
+	// The call panics because the instance has no placer.
+	testAdapter.handlePlacerEvent(10, testInstance, &instance{}, placer.Event{Kind: placer.Arrived})
+	reply := string(testAdapter.writer.Finish())
+	if reply[12] != 90 || !strings.Contains(reply, "panic") {
+		t.Fatalf("reply %x does not report the panic", reply)
 	}
 }
--- a/internal/simbridge/simadapter/translate.go
+++ b/internal/simbridge/simadapter/translate.go
@@ -8,15 +8,15 @@
 	"heathshed/placer"
 )
 
-// translate returns the event for the placer. It returns false for events that the placer does not use, which are the
-// results of health checks and messages of peers.
-func (in *instance) translate(record *simproto.Event, lists *[simproto.MaxNodeLists][]placer.Node) (placer.Event, bool, error) {
+// translateEvent converts an event record to an event of the placer. It returns false for events that the placer does not
+// use: the results of health checks and the messages of peers.
+func (in *instance) translateEvent(record *simproto.Event, lists *[simproto.MaxNodeLists][]placer.Node) (placer.Event, bool, error) {
 	event := placer.Event{TaskID: placer.TaskID(record.TaskID), Node: placer.NodeID(record.Node), Attempt: int(record.Attempt)}
 	var err error
 	switch record.Code {
 	case simproto.EventNodesListed:
 		event.Kind = placer.NodesListed
-		event.List, event.Nodes, err = findList(record, lists)
+		event.List, event.Nodes, err = lookupNodeList(record, lists)
 	case simproto.EventTaskArrived:
 		event.Kind, event.Task = placer.Arrived, translateTask(record)
 	case simproto.EventTaskAdopted:
@@ -28,8 +28,8 @@
 	case simproto.EventAttemptEnded:
 		event.Kind, event.Elapsed, event.Final = placer.Ended, record.Elapsed, record.Final != 0
 		event.Reason = placer.Reason(record.Reason)
-		event.Result, err = translateStatus(record.Status)
-		event.Report = in.parseReport(record.LoadValues)
+		event.Result, err = translateResult(record.Status)
+		event.Report = in.parseLoadReport(record.LoadValues)
 	case simproto.EventTaskWithdrawn:
 		event.Kind = placer.Withdrawn
 	case simproto.EventTimerFired:
@@ -40,8 +40,9 @@
 	return event, err == nil, err
 }
 
-// findList returns the kind of a node list and its nodes, or no nodes if the request for the list failed.
-func findList(record *simproto.Event, lists *[simproto.MaxNodeLists][]placer.Node) (placer.ListKind, []placer.Node, error) {
+// lookupNodeList returns the kind of the node list to which the record refers, and the nodes of that list. It returns no
+// nodes if the request for the list failed.
+func lookupNodeList(record *simproto.Event, lists *[simproto.MaxNodeLists][]placer.Node) (placer.ListKind, []placer.Node, error) {
 	var kind placer.ListKind
 	switch record.ListKind {
 	case simproto.ListFull:
@@ -53,15 +54,15 @@
 	case simproto.ListChanges:
 		kind = placer.Changes
 	default:
-		return kind, nil, fmt.Errorf("list kind %d is not known", record.ListKind)
+		return kind, nil, fmt.Errorf("unknown list kind %d", record.ListKind)
 	}
 	if int(record.ListNumber) >= len(lists) {
-		return kind, nil, fmt.Errorf("list number %d is over %d", record.ListNumber, len(lists)-1)
+		return kind, nil, fmt.Errorf("list number %d exceeds the maximum %d", record.ListNumber, len(lists)-1)
 	}
 	return kind, lists[record.ListNumber], nil
 }
 
-// translateNode returns an entry of a node list for the placer.
+// translateNode converts an entry of a node list to a node of the placer.
 func translateNode(entry *simproto.NodeEntry) placer.Node {
 	node := placer.Node{
 		ID:         placer.NodeID(entry.Node),
@@ -82,7 +83,7 @@
 	return node
 }
 
-// translateTask returns the task of an event for the placer.
+// translateTask converts the task of an event record to a task of the placer.
 func translateTask(record *simproto.Event) placer.Task {
 	return placer.Task{
 		ID:       placer.TaskID(record.TaskID),
@@ -96,8 +97,8 @@
 	}
 }
 
-// translateStatus returns the result of an attempt for the placer.
-func translateStatus(status simproto.Status) (placer.Result, error) {
+// translateResult converts the outcome of an attempt to a result of the placer.
+func translateResult(status simproto.Status) (placer.Result, error) {
 	switch status {
 	case simproto.StatusFinished:
 		return placer.Finished, nil
@@ -116,20 +117,21 @@
 	case simproto.StatusExpired:
 		return placer.Expired, nil
 	}
-	return 0, fmt.Errorf("outcome %d is not known", status)
+	return 0, fmt.Errorf("unknown outcome %d of an attempt", status)
 }
 
-// parseReport returns a load report, whose values are in the order of the settings' names, or nil if it has no values. The
-// result is valid until the next call.
-func (in *instance) parseReport(values []float32) *placer.Report {
+// parseLoadReport returns the load report with the given values, which are in the order of the report fields in the
+// settings. It ignores values beyond the last field and returns nil if there are no values. The result is valid until
+// the next call.
+func (in *instance) parseLoadReport(values []float32) *placer.Report {
 	if len(values) == 0 {
 		return nil
 	}
-	in.report = simconfig.EmptyReport()
+	in.loadReport = simconfig.EmptyReport()
 	for i, value := range values {
 		if i < len(in.reportFields) {
-			simconfig.SetReportField(&in.report, in.reportFields[i], float64(value))
+			simconfig.SetReportField(&in.loadReport, in.reportFields[i], float64(value))
 		}
 	}
-	return &in.report
+	return &in.loadReport
 }
