--- a/internal/simbridge/simadapter/characterization_test.go
+++ b/internal/simbridge/simadapter/characterization_test.go
@@ -275,9 +275,9 @@
 	goldentest.CheckText(t, "run", simulator.checkpoints.String())
 }
 
-// TestCharacterizationOfRefusedInput pins which list kinds, list numbers and attempt outcomes the adapter rejects. The
+// TestCharacterizationOfRejectedInput pins which list kinds, list numbers and attempt outcomes the adapter rejects. The
 // golden file contains 1 for a rejected value and 0 for an accepted value.
-func TestCharacterizationOfRefusedInput(t *testing.T) {
+func TestCharacterizationOfRejectedInput(t *testing.T) {
 	var text strings.Builder
 	writeRejected := func(testedRecord []byte) {
 		startRecord := simwire.Record(uint8(19), uint32(0), uint64(9), uint32(len(pushSettings)), []byte(pushSettings))
