--- a/internal/simbridge/simadapter/characterization_test.go
+++ b/internal/simbridge/simadapter/characterization_test.go
@@ -22,10 +22,10 @@
 	"heathshed/internal/testsupport/simwire"
 )
 
-// With pushSettings, discovery pushes node lists. With consolidatingSettings, the scheduler polls node lists, and each node
+// With pushDiscoverySettings, discovery pushes node lists. With consolidatingSettings, the scheduler polls node lists, and each node
 // in use has a cost. The node lists contain the free capacity in both cases.
 const (
-	pushSettings = `{"discovery":"push","me":0,"myZone":0,"peersTotal":2,
+	pushDiscoverySettings = `{"discovery":"push","me":0,"myZone":0,"peersTotal":2,
  "extra":{"admitMemory":1.5,"apartBy":["none","cell"],"classKind":[-1,-1],"coresByKind":[8,16],"counts":"used","cpuBooking":2,
   "freeInList":true,"fullUpTo":[1,0.8],"fadesOver":[1,0.2],"kindMemory":[16,32],"precedence":[0,2],"saysYes":"running",
   "startBonusS":[5,6],"togetherMax":[0,2],"youngLimit":12},
@@ -91,7 +91,7 @@
 	sim.now += 0.1 * sim.rng.Float64()
 	var records [][]byte
 	if sim.batchNumber == 1 {
-		for instance, settings := range []string{pushSettings, consolidatingSettings} {
+		for instance, settings := range []string{pushDiscoverySettings, consolidatingSettings} {
 			records = append(records, simwire.Record(uint8(19), uint32(instance), uint64(9+instance), uint32(len(settings)), []byte(settings)))
 		}
 	}
@@ -172,7 +172,7 @@
 		simwire.Record(uint8(25), uint32(1), uint64(1)<<50, uint8(9), 0.1, address),
 		simwire.Record(uint8(20), uint32(0), uint16(253), address, 0.5, uint8(1), float32(2)),
 		simwire.Record(uint8(28), uint32(1), uint32(0), uint16(3), []byte("abc")),
-		simwire.Record(uint8(19), uint32(5), uint64(sim.batchNumber), uint32(len(pushSettings)), []byte(pushSettings)),
+		simwire.Record(uint8(19), uint32(5), uint64(sim.batchNumber), uint32(len(pushDiscoverySettings)), []byte(pushDiscoverySettings)),
 		simwire.Record(uint8(23), uint32(5)),
 	}
 }
@@ -280,7 +280,7 @@
 func TestCharacterizationOfRejectedInput(t *testing.T) {
 	var text strings.Builder
 	writeRejected := func(testedRecord []byte) {
-		startRecord := simwire.Record(uint8(19), uint32(0), uint64(9), uint32(len(pushSettings)), []byte(pushSettings))
+		startRecord := simwire.Record(uint8(19), uint32(0), uint64(9), uint32(len(pushDiscoverySettings)), []byte(pushDiscoverySettings))
 		if simadapter.Run(bytes.NewReader(simwire.Batch(1, 50, startRecord, testedRecord)), io.Discard, io.Discard) != nil {
 			text.WriteByte('1')
 		} else {
--- a/internal/simbridge/simadapter/equivalence_drivers_test.go
+++ b/internal/simbridge/simadapter/equivalence_drivers_test.go
@@ -12,8 +12,8 @@
 	"heathshed/placer"
 )
 
-// These numbers of the simulator's protocol do not use the constants of package simproto, so the tests fail if those
-// constants change.
+// These values repeat numbers of the simulator's protocol instead of using the constants of package simproto. The tests
+// fail if those constants change.
 const (
 	wireStatusCancelled = 250
 	wireStatusLost      = 251
@@ -87,7 +87,7 @@
 	drivers.adapterActions = append(drivers.adapterActions, drivers.adapter.actions...)
 }
 
-// compareAndReset starts the attempts that the dispatch core has ready, compares the recorded events and actions of both
+// compareAndReset prepares the attempts that the dispatch core wants to send, compares the recorded events and actions of both
 // drivers, and then clears these records.
 func (drivers *driverPair) compareAndReset(step string) {
 	drivers.t.Helper()
--- a/internal/simbridge/simadapter/translate.go
+++ b/internal/simbridge/simadapter/translate.go
@@ -10,7 +10,7 @@
 
 // translateEvent converts an event record to an event of the placer. It returns false for events that the placer does not
 // use: the results of health checks and the messages of peers.
-func (in *instance) translateEvent(record *simproto.Event, lists *[simproto.MaxNodeLists][]placer.Node) (placer.Event, bool, error) {
+func (inst *instance) translateEvent(record *simproto.Event, lists *[simproto.MaxNodeLists][]placer.Node) (placer.Event, bool, error) {
 	event := placer.Event{TaskID: placer.TaskID(record.TaskID), Node: placer.NodeID(record.Node), Attempt: int(record.Attempt)}
 	var err error
 	switch record.Code {
@@ -29,7 +29,7 @@
 		event.Kind, event.Elapsed, event.Final = placer.Ended, record.Elapsed, record.Final != 0
 		event.Reason = placer.Reason(record.Reason)
 		event.Result, err = translateResult(record.Status)
-		event.Report = in.parseLoadReport(record.LoadValues)
+		event.Report = inst.parseLoadReport(record.LoadValues)
 	case simproto.EventTaskWithdrawn:
 		event.Kind = placer.Withdrawn
 	case simproto.EventTimerFired:
@@ -123,15 +123,15 @@
 // parseLoadReport returns the load report with the given values, which are in the order of the report fields in the
 // settings. It ignores values beyond the last field and returns nil if there are no values. The result is valid until
 // the next call.
-func (in *instance) parseLoadReport(values []float32) *placer.Report {
+func (inst *instance) parseLoadReport(values []float32) *placer.Report {
 	if len(values) == 0 {
 		return nil
 	}
-	in.loadReport = simconfig.EmptyReport()
+	inst.loadReport = simconfig.EmptyReport()
 	for i, value := range values {
-		if i < len(in.reportFields) {
-			simconfig.SetReportField(&in.loadReport, in.reportFields[i], float64(value))
+		if i < len(inst.reportFields) {
+			simconfig.SetReportField(&inst.loadReport, inst.reportFields[i], float64(value))
 		}
 	}
-	return &in.loadReport
+	return &inst.loadReport
 }
--- a/internal/simbridge/simproto/characterization_test.go
+++ b/internal/simbridge/simproto/characterization_test.go
@@ -52,7 +52,7 @@
 }
 
 // describeEvent returns all fields of an event as text in a fixed order. Floating point numbers are written as their bits
-// and byte strings in hexadecimal, so the text of two events is equal only if all fields are equal.
+// and byte strings in hexadecimal.
 func describeEvent(event *simproto.Event) string {
 	var text strings.Builder
 	bits := func(value placer.Seconds) uint64 { return math.Float64bits(float64(value)) }
--- a/internal/simbridge/simproto/reader.go
+++ b/internal/simbridge/simproto/reader.go
@@ -40,7 +40,7 @@
 		if errors.Is(err, io.EOF) {
 			return Batch{}, io.EOF
 		}
-		return Batch{}, fmt.Errorf("simproto: batch header: %w", err)
+		return Batch{}, fmt.Errorf("simproto: read batch header: %w", err)
 	}
 	batch := Batch{
 		Number:      binary.LittleEndian.Uint32(r.header[0:]),
--- a/internal/simbridge/simproto/simproto.go
+++ b/internal/simbridge/simproto/simproto.go
@@ -51,10 +51,10 @@
 	ActionSetTimer     ActionCode = 92
 )
 
-// ListKind states how the entries of a node list are to be applied.
+// ListKind is the kind of a node list in an EventNodesListed event.
 type ListKind uint8
 
-// The kinds of node lists have these values in the protocol.
+// The kinds of node lists have these values in the protocol. ListFailed reports that the request for the list failed.
 const (
 	ListFull    ListKind = 0
 	ListCached  ListKind = 1
--- a/internal/simbridge/simproto/simproto_test.go
+++ b/internal/simbridge/simproto/simproto_test.go
@@ -120,7 +120,7 @@
 		input     []byte
 		wantError string
 	}{
-		"truncated batch header":           {validBatch[:9], "batch header"},
+		"truncated batch header":           {validBatch[:9], "read batch header"},
 		"truncated batch body":             {validBatch[:len(validBatch)-3], "ends early"},
 		"batch length below header length": {withUint32At(4, 3), "does not cover the header"},
 		"more records than bytes":          {withUint32At(8, 1e9), "do not fit"},
