--- a/internal/kube/api/api.go
+++ b/internal/kube/api/api.go
@@ -7,8 +7,8 @@
 // Package scheduler serves the API over HTTP. The emulated inventory uses this package without an engine and
 // serves a read-only API. The file docs/api.md lists the parts of the specification that are not implemented.
 //
-// New readers should start with Server.Serve (api.go). It passes a request to serveRead (get, list and watch)
-// or to serveWrite (create, update and delete).
+// New readers should start with Server.Serve (api.go). This method passes each request for API objects to
+// serveRead (get, list and watch) or to serveWrite (create, update and delete).
 package api
 
 import (
@@ -26,7 +26,8 @@
 type Server struct {
 	// Store contains the objects that the API serves.
 	Store *store.Store
-	// Engine carries out the requests that change objects. If it is nil, the server rejects these requests.
+	// Engine is the core of the scheduler. It carries out the requests that change objects. If Engine is
+	// nil, the server rejects such requests.
 	Engine *engine.Engine
 	// Version is the program version that the response to GET /version contains.
 	Version string
@@ -35,15 +36,16 @@
 	// Metrics returns the body of the response to GET /metrics. If Metrics is nil, the server does not serve
 	// this path.
 	Metrics func() []byte
-	// DefaultListLimit is the maximum number of objects in the response to a list request that sets no limit.
-	// If it is 0, the number is unlimited.
+	// DefaultListLimit is the maximum number of objects in the response to a list request that sets no
+	// limit. If DefaultListLimit is 0, the number of objects is unlimited.
 	DefaultListLimit int
 
-	// now is the Unix time that was last passed to Serve or SetTime.
+	// now is the Unix time that the caller passed in the last call of Serve or SetTime.
 	now placer.Seconds
 	// watchers contains the open watches.
 	watchers map[*watcher]struct{}
-	// closing is true after CloseWatches was called. The server then ends open watches and rejects new ones.
+	// closing is true after a call of CloseWatches. The server then ends open watches and rejects requests
+	// for new watches.
 	closing bool
 }
 
@@ -61,7 +63,8 @@
 	return response
 }
 
-// serve answers a request whose target has not been parsed yet. Serve converts its errors to responses.
+// serve parses the target of a request and answers the request. The caller converts an error that serve
+// returns to an error response.
 func (s *Server) serve(r *request) (http1.Response, error) {
 	if err := r.parseTarget(); err != nil {
 		return http1.Response{}, err
@@ -132,8 +135,8 @@
 	return http1.Response{}, r.methodNotAllowedError()
 }
 
-// serveNonResource serves the health checks and the metrics, whose paths do not belong to API resources. It
-// returns false if the request has any other path.
+// serveNonResource serves requests for the health checks and the metrics. The paths of these requests
+// belong to no API resource. The result is false if a request has any other path.
 func (s *Server) serveNonResource(r *request) (http1.Response, bool) {
 	const plainTextType = "text/plain; charset=utf-8"
 	const metricsTextType = "text/plain; version=0.0.4; charset=utf-8"
--- a/internal/kube/api/api_test.go
+++ b/internal/kube/api/api_test.go
@@ -23,11 +23,11 @@
 		wantRows             int
 		wantMore             bool
 	}{
-		{"list of all Pods", "/api/v1/pods", kubectlAccept, "Table", 5, false},
-		{"single Pod", "/api/v1/namespaces/default/pods/pa", kubectlAccept, "Table", 1, false},
-		{"page of 2 Pods", "/api/v1/pods?limit=2", kubectlAccept, "Table", 2, true},
-		{"list with a label selector", "/api/v1/pods?labelSelector=odd%3D1", kubectlAccept, "Table", 2, false},
-		{"Accept header that lists plain JSON first", "/api/v1/pods", "application/json," + kubectlAccept, "PodList", 0, false},
+		{"Table of all 5 Pods", "/api/v1/pods", kubectlAccept, "Table", 5, false},
+		{"Table of a single Pod", "/api/v1/namespaces/default/pods/pa", kubectlAccept, "Table", 1, false},
+		{"Table of the first 2 Pods, with a continue token", "/api/v1/pods?limit=2", kubectlAccept, "Table", 2, true},
+		{"Table of the 2 Pods that match a label selector", "/api/v1/pods?labelSelector=odd%3D1", kubectlAccept, "Table", 2, false},
+		{"plain JSON list, because the Accept header names plain JSON before Table", "/api/v1/pods", "application/json," + kubectlAccept, "PodList", 0, false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			response := server.getWithAccept(test.target, test.accept)
@@ -68,10 +68,10 @@
 	return eventTypes, done
 }
 
-// TestWatchSelectorsAndExpiry checks three properties of watches. If an object starts to match the selector
-// of a watch, the watch sends an ADDED event, and if it no longer matches, a DELETED event. If the store's
-// history no longer contains the changes that a watch needs, the watch sends an ERROR event and ends. Each
-// event is a line of its own.
+// TestWatchSelectorsAndExpiry checks three properties of watches. First, a watch sends an ADDED event if an
+// object starts to match the selector of the watch, and a DELETED event if the object no longer matches.
+// Second, a watch sends an ERROR event and ends if the store's history no longer contains the changes that
+// the watch needs. Third, a watch sends each event as a separate line.
 func TestWatchSelectorsAndExpiry(t *testing.T) {
 	server := newPodServer(2)
 	putPod := func(name, oddLabel string) {
@@ -93,11 +93,12 @@
 	server.Store.Delete(store.Pods, "default", "pa")
 	server.Store.Delete(store.Pods, "default", "pb")
 	for !strings.HasSuffix(strings.Join(events, " "), "MODIFIED DELETED") {
-		// With a limit of 1 byte, each call of Pull returns a single event, as for a slow client.
+		// The limit of 1 byte imitates a client that reads slowly. Pull appends only complete events and
+		// stops after the event that reaches the limit. With this limit, each call returns a single event.
 		pulled, done := pullEventTypes(t, response.Stream, 1)
 		events = append(events, pulled...)
 		if done {
-			t.Fatalf("watch ended before it sent the expected events; it sent %v", events)
+			t.Fatalf("watch ended after it sent the events %v; want it to stay open until it has sent MODIFIED and DELETED", events)
 		}
 	}
 	if got, want := strings.Join(events, " "), "ADDED BOOKMARK ADDED DELETED MODIFIED DELETED"; got != want {
@@ -114,6 +115,6 @@
 	}
 	response.Stream.Close()
 	if server.OpenWatches() != 0 {
-		t.Error("OpenWatches counts a watch whose stream was closed")
+		t.Error("OpenWatches still counts a watch after its stream was closed")
 	}
 }
--- a/internal/kube/api/bench_test.go
+++ b/internal/kube/api/bench_test.go
@@ -9,9 +9,9 @@
 	"heathshed/internal/kube/store"
 )
 
-// benchmarkStore returns a store with running Pods. During its first request, a benchmark caches the encoding
-// of each Pod that it reads. Its other requests use these cached encodings, as requests to a server with open
-// watches do.
+// benchmarkStore returns a store with running Pods. The first request of a benchmark caches the encoding of
+// each Pod that the request reads. The other requests of the benchmark use these cached encodings, as
+// requests to a server with open watches do.
 func benchmarkStore(podCount int) *store.Store {
 	objects := store.New(100, 5000)
 	for i := range podCount {
@@ -41,8 +41,8 @@
 	}
 }
 
-// BenchmarkWatchPull measures a watch request together with one call of Pull, which returns the initial
-// events for 1000 Pods.
+// BenchmarkWatchPull measures a watch request together with one call of Pull on the stream of the watch.
+// This call returns the initial events for 1000 Pods.
 func BenchmarkWatchPull(b *testing.B) {
 	for _, accept := range []string{jsonType, protobufType} {
 		b.Run(accept, func(b *testing.B) {
--- a/internal/kube/api/binary.go
+++ b/internal/kube/api/binary.go
@@ -28,8 +28,8 @@
 // prefersProtobuf reports whether an Accept header lists the protobuf encoding before JSON.
 func prefersProtobuf(accept string) bool {
 	for mediaRange := range strings.SplitSeq(accept, ",") {
-		// The error is ignored, because ParseMediaType returns the media type even if its parameters are
-		// invalid, and an empty media type after any other error.
+		// The error is ignored: ParseMediaType returns the media type even if the parameters of the media
+		// range are invalid, and it returns an empty media type after any other error.
 		mediaType, _, _ := mime.ParseMediaType(mediaRange)
 		switch mediaType {
 		case protobufType:
@@ -41,8 +41,9 @@
 	return false
 }
 
-// encodeProtobuf returns an object with its kind and API version in the protobuf encoding. If the object
-// cannot be encoded, the result contains the kind and API version but no fields of the object.
+// encodeProtobuf returns the protobuf encoding of an object. The encoding includes the kind and API version
+// of the object. If the fields of the object cannot be encoded, the result contains only the kind and API
+// version.
 func encodeProtobuf(o runtime.Object) []byte {
 	apiVersion, kind := apiVersionAndKind(o)
 	var encodedObject []byte
@@ -51,12 +52,14 @@
 			encodedObject = messageBytes
 		}
 	}
-	// maxEnvelopeBytes is an upper bound for the total size of protobufMagic and of all tags and lengths.
+	// maxEnvelopeBytes is an upper bound for the total size of protobufMagic and of all protobuf tags and
+	// lengths around the object.
 	const maxEnvelopeBytes = 24
 	b := make([]byte, 0, len(encodedObject)+len(apiVersion)+len(kind)+maxEnvelopeBytes)
 	b = append(b, protobufMagic...)
 	b = protowire.AppendTag(b, 1, protowire.BytesType) // Field 1 of runtime.Unknown is TypeMeta.
-	// The fields APIVersion and Kind each have a tag of 1 byte and a length of 1 byte, 4 bytes in total.
+	// Each of the fields APIVersion and Kind has a tag of 1 byte and a length prefix of 1 byte. Together,
+	// these tags and length prefixes take 4 bytes.
 	b = protowire.AppendVarint(b, uint64(4+len(apiVersion)+len(kind)))
 	b = protowire.AppendTag(b, 1, protowire.BytesType) // Field 1 of TypeMeta is APIVersion.
 	b = protowire.AppendString(b, apiVersion)
@@ -66,8 +69,8 @@
 	return protowire.AppendBytes(b, encodedObject)
 }
 
-// cachedProtobuf returns the object of a change in the protobuf encoding. The first call stores the encoding
-// in the change, and later calls reuse it.
+// cachedProtobuf returns the protobuf encoding of the object in a store.Change. The first call stores the
+// encoding in the store.Change, and later calls reuse this encoding.
 func cachedProtobuf(change *store.Change) []byte {
 	if change.Binary == nil {
 		change.Binary = encodeProtobuf(change.Object)
--- a/internal/kube/api/bounds_test.go
+++ b/internal/kube/api/bounds_test.go
@@ -34,27 +34,27 @@
 	}{
 		{"JSON patch that copies the metadata into its own annotations 40 times", "PATCH", nodePath, jsonPatchType, copyPatch(40), 413},
 		{"JSON patch with 1,501 operations", "PATCH", nodePath, jsonPatchType, "[" + strings.Repeat(testOperation+",", 1500) + testOperation + "]", 413},
-		{"deeply nested merge patch", "PATCH", nodePath, mergePatchType, nestedJSON(9000), 400},
-		{"deeply nested strategic merge patch", "PATCH", nodePath, strategicPatchType, nestedJSON(9000), 400},
-		{"9,000 nested objects instead of a Job", "POST", jobsPath, jsonType, nestedJSON(9000), 400},
-		{"100,000 nested arrays instead of a Job", "POST", jobsPath, jsonType, strings.Repeat("[", 100000), 400},
-		{"CPU quantity with a huge exponent", "POST", jobsPath, jsonType, jobWithCPU(`"1e1000000000"`), 400},
-		{"CPU quantity as a JSON number with a huge exponent", "POST", jobsPath, jsonType, jobWithCPU(`1e1000000000`), 400},
-		{"CPU quantity with a huge negative exponent", "POST", jobsPath, jsonType, jobWithCPU(`"1e-2147483647"`), 400},
-		{"CPU quantity whose letter e is escaped", "POST", jobsPath, jsonType, jobWithCPU(`"1\u00651000000000"`), 400},
-		{"CPU quantity whose first digit is escaped", "POST", jobsPath, jsonType, jobWithCPU(`"\u0031e1000000000"`), 400},
-		{"CPU quantity with 1,048,576 digits", "POST", jobsPath, jsonType, jobWithCPU(`"` + strings.Repeat("9", 1<<20) + `"`), 400},
+		{"merge patch with 9,000 nested objects", "PATCH", nodePath, mergePatchType, nestedJSON(9000), 400},
+		{"strategic merge patch with 9,000 nested objects", "PATCH", nodePath, strategicPatchType, nestedJSON(9000), 400},
+		{"request body with 9,000 nested objects instead of a Job", "POST", jobsPath, jsonType, nestedJSON(9000), 400},
+		{"request body with 100,000 nested arrays instead of a Job", "POST", jobsPath, jsonType, strings.Repeat("[", 100000), 400},
+		{"Job whose CPU quantity is a JSON string with a huge exponent", "POST", jobsPath, jsonType, jobWithCPU(`"1e1000000000"`), 400},
+		{"Job whose CPU quantity is a JSON number with a huge exponent", "POST", jobsPath, jsonType, jobWithCPU(`1e1000000000`), 400},
+		{"Job whose CPU quantity has a huge negative exponent", "POST", jobsPath, jsonType, jobWithCPU(`"1e-2147483647"`), 400},
+		{"Job whose CPU quantity has a huge exponent after an escaped letter e", "POST", jobsPath, jsonType, jobWithCPU(`"1\u00651000000000"`), 400},
+		{"Job whose CPU quantity has an escaped first digit and a huge exponent", "POST", jobsPath, jsonType, jobWithCPU(`"\u0031e1000000000"`), 400},
+		{"Job whose CPU quantity has 1,048,576 digits", "POST", jobsPath, jsonType, jobWithCPU(`"` + strings.Repeat("9", 1<<20) + `"`), 400},
 		{"merge patch that sets a CPU capacity with a huge exponent", "PATCH", nodePath, mergePatchType, `{"status":{"capacity":{"cpu":"1e1000000000"}}}`, 400},
-		{"protobuf message with a quantity that has a huge exponent", "POST", jobsPath, protobufType, protobufQuantity, 400},
+		{"protobuf message that contains a quantity with a huge exponent", "POST", jobsPath, protobufType, protobufQuantity, 400},
 		{"Job with 900,001 empty containers", "POST", jobsPath, jsonType, manyContainers, 413},
 		{"merge patch with a label value of 1 MiB", "PATCH", nodePath, mergePatchType, `{"metadata":{"labels":{"a":"` + strings.Repeat("x", 1<<20) + `"}}}`, 413},
-		{"label selector with 2,001 terms", "GET", "/api/v1/pods?labelSelector=" + strings.Repeat("a,", 2000) + "a", "", "", 413},
-		{"field selector with 2,000 terms", "GET", "/api/v1/pods?fieldSelector=" + strings.Repeat("metadata.name%21%3Da,", 2000), "", "", 413},
+		{"list request with a label selector of 2,001 terms", "GET", "/api/v1/pods?labelSelector=" + strings.Repeat("a,", 2000) + "a", "", "", 413},
+		{"list request with a field selector of 2,000 terms", "GET", "/api/v1/pods?fieldSelector=" + strings.Repeat("metadata.name%21%3Da,", 2000), "", "", 413},
 		{"path with an escaped slash in the namespace", "GET", "/api/v1/namespaces/default%2Fx/pods", "", "", 400},
 		{"path with two escaped dots as the namespace", "GET", "/api/v1/namespaces/%2e%2e/pods", "", "", 400},
 		{"path with an escaped NUL in the object name", "GET", "/api/v1/nodes/a%00b", "", "", 400},
-		{"annotation with the text of a quantity that has a huge exponent", "PATCH", nodePath, mergePatchType, `{"metadata":{"annotations":{"a":"1e1000000000"}}}`, 200},
-		// The result of this patch is small, but it is not a valid Node: the value of the new annotation is an
+		{"valid merge patch whose annotation value looks like a quantity with a huge exponent", "PATCH", nodePath, mergePatchType, `{"metadata":{"annotations":{"a":"1e1000000000"}}}`, 200},
+		// The Node that results from this patch is small but invalid: the value of a new annotation is an
 		// object instead of a string.
 		{"JSON patch that copies the metadata into its own annotations twice", "PATCH", nodePath, jsonPatchType, copyPatch(2), 400},
 	} {
@@ -81,8 +81,8 @@
 	}
 }
 
-// FuzzBody checks that an arbitrary request body causes no internal server error and that the server
-// allocates no more memory for it than checkAllocations allows.
+// FuzzBody checks that an arbitrary request body causes no internal server error. It also checks that the
+// server allocates no more memory for the request than checkAllocations allows.
 func FuzzBody(f *testing.F) {
 	endpoints := []struct{ method, path, mediaType string }{
 		{"POST", jobsPath, jsonType},
@@ -120,8 +120,8 @@
 	})
 }
 
-// FuzzSelector checks that the server can parse an arbitrary selector and compare it with objects without
-// allocating more memory than checkAllocations allows.
+// FuzzSelector checks that the server allocates no more memory than checkAllocations allows while it parses
+// an arbitrary label selector and field selector and compares them with objects.
 func FuzzSelector(f *testing.F) {
 	for _, selector := range []string{"a=b", "a in (b,c),!d", "a notin (b)", "a>1", strings.Repeat("a,", 200), "(((", "a in (", "\x00"} {
 		f.Add(selector, selector)
@@ -194,20 +194,20 @@
 		wantItems    int
 		wantStream   bool
 	}{
-		{"list of all Pods", "/api/v1/pods", podCount, true},
-		{"page of 300 Pods", "/api/v1/pods?limit=300", 300, true},
-		{"page of 3 Pods", "/api/v1/pods?limit=3", 3, false},
+		{"list of all 400 Pods, sent as a stream", "/api/v1/pods", podCount, true},
+		{"page of 300 Pods, sent as a stream", "/api/v1/pods?limit=300", 300, true},
+		{"page of 3 Pods, sent as a single body", "/api/v1/pods?limit=3", 3, false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			response := server.getWithAccept(test.target, jsonType)
 			body := response.Body
 			if (response.Stream != nil) != test.wantStream {
-				t.Fatalf("response contains a stream: %v, want the opposite", response.Stream != nil)
+				t.Fatalf("response contains a stream: %v; this test case wants the opposite value", response.Stream != nil)
 			}
 			for done := !test.wantStream; !done; {
 				previousLength := len(body)
 				if body, done = response.Stream.Pull(body, 10000); len(body)-previousLength > 200000 {
-					t.Fatalf("one call of Pull returned %d bytes, want at most 200000", len(body)-previousLength)
+					t.Fatalf("one call of Pull with a limit of 10000 bytes returned %d bytes, want at most 200000", len(body)-previousLength)
 				}
 			}
 			var list corev1.PodList
@@ -216,14 +216,15 @@
 			}
 		})
 	}
-	t.Run("list whose revision is dropped from the history", func(t *testing.T) {
+	t.Run("list whose revision the store drops from its history", func(t *testing.T) {
 		response := server.getWithAccept("/api/v1/pods", jsonType)
-		// The store's history keeps 500 changes, so these 1000 changes drop the revision of the list from it.
+		// The store's history keeps 500 changes. After these 1000 changes, it no longer contains the
+		// revision of the list.
 		for i := range 1000 {
 			putLargePod(objects, i%podCount)
 		}
 		if _, done := response.Stream.Pull(nil, 10000); !done || !response.Stream.(*listStream).Broken() {
-			t.Error("list stream did not end early and report that it is broken after the store dropped its revision from the history")
+			t.Error("after the store dropped the revision of a list from its history, the list stream did not end early or did not report that it is broken")
 		}
 	})
 }
--- a/internal/kube/api/characterization_reads_test.go
+++ b/internal/kube/api/characterization_reads_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// TestCharacterizeReads compares the responses to read requests with a golden file. The requests cover lists,
-// single objects, Tables, selectors, pages, API discovery and errors.
+// TestCharacterizeReads checks that the responses to read requests match a golden file. The requests cover
+// lists, single objects, Tables, selectors, pages, API discovery and errors.
 func TestCharacterizeReads(t *testing.T) {
 	session := newSession(t)
 	session.createInitialJobs()
@@ -35,7 +35,8 @@
 	session.recorder.Check(t, "reads")
 }
 
-// readWithQueries reads each list with valid and with invalid query parameters.
+// readWithQueries sends read requests for each list. Some of the requests have valid query parameters, and
+// others have invalid ones.
 func (session *apiSession) readWithQueries(listPaths []string) {
 	for _, target := range listPaths {
 		for _, query := range []string{
--- a/internal/kube/api/characterization_watches_test.go
+++ b/internal/kube/api/characterization_watches_test.go
@@ -7,8 +7,8 @@
 	"heathshed/internal/netio/http1"
 )
 
-// TestCharacterizeWatches compares the data that watches send with a golden file. The watches cover JSON, the
-// protobuf encoding, selectors, bookmarks, initial events and errors.
+// TestCharacterizeWatches checks that the data in the streams of watches matches a golden file. The watches
+// cover JSON, the protobuf encoding, selectors, bookmarks, initial events and errors.
 func TestCharacterizeWatches(t *testing.T) {
 	session := newSession(t)
 	var streams []http1.Stream
--- a/internal/kube/api/characterization_writes_test.go
+++ b/internal/kube/api/characterization_writes_test.go
@@ -11,8 +11,8 @@
 	"heathshed/internal/config"
 )
 
-// TestCharacterizeWrites compares the responses to write requests with a golden file. The requests cover
-// creations, updates, patches, evictions, deletions and errors.
+// TestCharacterizeWrites checks that the responses to write requests match a golden file. The requests
+// cover creations, updates, patches, evictions, deletions and errors.
 func TestCharacterizeWrites(t *testing.T) {
 	session := newSession(t)
 	session.createInitialJobs()
@@ -28,8 +28,8 @@
 	session.recorder.Check(t, "writes")
 }
 
-// createJobs sends requests that create Jobs, with valid and with invalid bodies, query parameters and
-// headers.
+// createJobs sends requests to create Jobs. Some of the requests are valid, and others have an invalid
+// body, query parameter or header.
 func (session *apiSession) createJobs() {
 	validJob := jobJSON("new", "", 2)
 	validJobWith := func(old, replacement string) string { return strings.Replace(validJob, old, replacement, 1) }
@@ -202,13 +202,13 @@
 	return names
 }
 
-// TestCharacterizeFullServer compares the responses to requests that create Jobs with a golden file.
-// Together, the Jobs have more Pods than the engine allows.
+// TestCharacterizeFullServer checks that the responses to requests that create Jobs match a golden file.
+// Together, these Jobs have more Pods than the engine allows.
 func TestCharacterizeFullServer(t *testing.T) {
 	settings := config.Default()
-	cfg := settings.Engine(1, 1000)
-	cfg.MaxPods = 5
-	session := newSessionWith(t, cfg)
+	engineConfig := settings.Engine(1, 1000)
+	engineConfig.MaxPods = 5
+	session := newSessionWith(t, engineConfig)
 	for i := range 3 {
 		session.post(jobsPath, jobJSON(fmt.Sprintf("job-%d", i), "", 3))
 		session.advance(0.1)
--- a/internal/kube/api/create.go
+++ b/internal/kube/api/create.go
@@ -53,7 +53,7 @@
 	return objectResponse(http.StatusCreated, createdJob)
 }
 
-// decodeNewJob decodes the Job in the request body. If the Job states no namespace, it gets the namespace in
+// decodeNewJob decodes the Job in the request body. A Job that states no namespace gets the namespace in
 // the request path.
 func (r *request) decodeNewJob() (*batchv1.Job, error) {
 	job := &batchv1.Job{}
@@ -86,8 +86,8 @@
 	}
 }
 
-// setJobDefaults fills in the defaults of the Kubernetes API for the fields of a Job that the client did not
-// set.
+// setJobDefaults sets fields of a Job to the default values that the Kubernetes API specifies. It does not
+// modify fields that the client has set.
 func setJobDefaults(job *batchv1.Job) {
 	spec := &job.Spec
 	if spec.Parallelism == nil {
@@ -101,8 +101,8 @@
 	setPodDefaults(&spec.Template.Spec)
 }
 
-// setPodDefaults fills in the defaults of the Kubernetes API for the fields of a Pod that the client did not
-// set.
+// setPodDefaults sets fields of a Pod to the default values that the Kubernetes API specifies. It does not
+// modify fields that the client has set.
 func setPodDefaults(podSpec *corev1.PodSpec) {
 	setDefaultString(&podSpec.DNSPolicy, corev1.DNSClusterFirst)
 	setDefault(&podSpec.TerminationGracePeriodSeconds, defaultGracePeriodSeconds)
--- a/internal/kube/api/decode.go
+++ b/internal/kube/api/decode.go
@@ -27,9 +27,9 @@
 // protobufMessage is implemented by objects that can be decoded from the protobuf encoding.
 type protobufMessage interface{ Unmarshal([]byte) error }
 
-// decode decodes the request body into an object of the expected kind. The Content-Type header states whether
-// the body is JSON or uses the protobuf encoding, which client-go prefers. Without this header, the body is
-// decoded as JSON.
+// decode decodes the request body into an object of the expected kind. The Content-Type header states
+// whether the body is JSON or uses the protobuf encoding. The Kubernetes client library client-go prefers
+// the protobuf encoding. If the request has no Content-Type header, the body is decoded as JSON.
 func (r *request) decode(into any, wantKind string) error {
 	mediaType := jsonType
 	if header := r.Head.Header.Get("Content-Type"); header != "" {
@@ -49,7 +49,7 @@
 			"accepted media types include: application/json, application/vnd.kubernetes.protobuf; not %s", mediaType))
 }
 
-// decodeProtobuf decodes a request body in the protobuf encoding into an object of the expected kind.
+// decodeProtobuf decodes a request body from the protobuf encoding into an object of the expected kind.
 func decodeProtobuf(body []byte, into any, wantKind string) error {
 	content, hasMagic := bytes.CutPrefix(body, protobufMagic)
 	if err := decodelimit.CheckProto(content, decodelimit.ObjectLimits()); err != nil {
@@ -118,8 +118,8 @@
 	return apierrors.NewBadRequest("fieldValidation: want Ignore, Warn or Strict")
 }
 
-// checkKind returns an error if a request body states another kind of object than the expected one. The body
-// may omit the kind.
+// checkKind returns an error if a request body states a kind of object that differs from the expected kind.
+// The body may omit the kind.
 func checkKind(got, want string) error {
 	if got != "" && got != want {
 		return apierrors.NewBadRequest(fmt.Sprintf("the object in the body is a %s, want a %s", got, want))
--- a/internal/kube/api/delete.go
+++ b/internal/kube/api/delete.go
@@ -31,8 +31,8 @@
 	return s.deleteCollection(r, options, dryRun)
 }
 
-// deleteOptions reads the delete options in the request body. The query parameter propagationPolicy replaces
-// the propagation policy in the body.
+// deleteOptions returns the delete options from the request body. If the request has the query parameter
+// propagationPolicy, the value of this parameter replaces the propagation policy from the body.
 func (r *request) deleteOptions() (*metav1.DeleteOptions, error) {
 	options := &metav1.DeleteOptions{}
 	if len(bytes.TrimSpace(r.Body)) > 0 {
@@ -54,8 +54,8 @@
 	}
 }
 
-// deleteNamedObject deletes a single object. The response contains the deleted object. If the object is a Job
-// that was removed from the store immediately, the response contains a Status instead.
+// deleteNamedObject deletes a single object. The response contains the deleted object. If this object is a
+// Job that the engine removed from the store immediately, the response contains a Status object instead.
 func (s *Server) deleteNamedObject(r *request, options *metav1.DeleteOptions, dryRun bool) (http1.Response, error) {
 	currentObject := s.Store.Get(r.resourceType.resource, r.namespace, r.name)
 	if currentObject == nil {
@@ -106,7 +106,7 @@
 	return response, nil
 }
 
-// selectedObjects returns the objects in the store that match a selector.
+// selectedObjects returns all stored objects that match a selector.
 func (s *Server) selectedObjects(selector *objectSelector) []store.Object {
 	var objects []store.Object
 	snapshot := s.Store.Snapshot(selector.resourceType.resource)
@@ -119,7 +119,7 @@
 	return objects
 }
 
-// deleteObject calls the engine to delete a Job or a Pod.
+// deleteObject calls the scheduler's engine to delete a Job or a Pod.
 func (s *Server) deleteObject(r *request, o store.Object, options *metav1.DeleteOptions) (store.Object, error) {
 	var uid types.UID
 	resourceVersion := ""
@@ -141,7 +141,7 @@
 	return s.Engine.DeleteJob(s.now, o.GetNamespace(), o.GetName(), uid, resourceVersion, propagationPolicy)
 }
 
-// evictPod serves POST requests that create an Eviction, which evicts a Pod.
+// evictPod serves POST requests that create an Eviction object. Such a request evicts a Pod.
 func (s *Server) evictPod(r *request) (http1.Response, error) {
 	var eviction policyv1.Eviction
 	if err := r.decode(&eviction, "Eviction"); err != nil {
--- a/internal/kube/api/discovery.go
+++ b/internal/kube/api/discovery.go
@@ -22,8 +22,8 @@
 	kubernetesVersion = "v1.37.2"
 )
 
-// serveDiscovery serves the paths of API discovery. The responses describe the version, the groups and the
-// resources of the API.
+// serveDiscovery serves requests to the paths of API discovery. The responses describe the version, the
+// groups and the resources of the API.
 func (s *Server) serveDiscovery(r *request) (http1.Response, error) {
 	if !r.isRead() {
 		return http1.Response{}, apierrors.NewMethodNotSupported(schema.GroupResource{Resource: r.pathSegments[0]}, r.Head.Method)
--- a/internal/kube/api/errors.go
+++ b/internal/kube/api/errors.go
@@ -14,14 +14,16 @@
 )
 
 const (
-	// tooManyRequestsRetrySeconds is the value of Retry-After in responses with status 429 (Too Many Requests).
+	// tooManyRequestsRetrySeconds is the value of the Retry-After header in responses with status 429 (Too
+	// Many Requests).
 	tooManyRequestsRetrySeconds = 5
-	// unavailableRetrySeconds is the value of Retry-After in responses with status 503 (Service Unavailable).
+	// unavailableRetrySeconds is the value of the Retry-After header in responses with status 503 (Service
+	// Unavailable).
 	unavailableRetrySeconds = 1
 )
 
-// newStatusError returns an error with an API status. It is used for statuses that have no constructor in
-// package apierrors.
+// newStatusError returns an error with an API status. Callers use it for statuses for which package
+// apierrors has no constructor.
 func newStatusError(code int32, reason metav1.StatusReason, message string) *apierrors.StatusError {
 	return &apierrors.StatusError{ErrStatus: metav1.Status{
 		Status:  metav1.StatusFailure,
@@ -32,7 +34,8 @@
 }
 
 // newInvalidSegmentError returns the error for a path segment that is not a valid name, for example because
-// it contains an escaped slash. The argument segmentKind states what the segment should name.
+// the segment contains an escaped slash. The argument segmentKind is "namespace" if the segment should be
+// the name of a namespace, and "name" if it should be the name of an object.
 func newInvalidSegmentError(segmentKind, value string) error {
 	return apierrors.NewBadRequest(fmt.Sprintf("path: %s %.80q is not valid: want lower case letters, digits, '-' and '.', beginning and ending "+
 		"with a letter or digit", segmentKind, value))
@@ -48,13 +51,13 @@
 	return err
 }
 
-// newResourceVersionExpiredError returns the error for a request with a resource version that the store's
-// history no longer contains.
+// newResourceVersionExpiredError returns the error for a request whose resource version is no longer in the
+// store's history.
 func newResourceVersionExpiredError(message string) *apierrors.StatusError {
 	return apierrors.NewResourceExpired(message)
 }
 
-// newResourceVersionTooLargeError returns the error for a request with a resource version that does not exist
+// newResourceVersionTooLargeError returns the error for a request whose resource version does not exist
 // yet.
 func newResourceVersionTooLargeError(resourceVersion, currentVersion int64) error {
 	err := apierrors.NewTimeoutError(fmt.Sprintf("Too large resource version: %d, current: %d", resourceVersion, currentVersion), 1)
@@ -65,8 +68,8 @@
 	return err
 }
 
-// newDecodeLimitError returns the error for a request body that would take too much memory to decode. The
-// argument source is the first word of the message.
+// newDecodeLimitError returns the error for a request body whose decoding would take too much memory. The
+// error message begins with the argument source, which is "body" or "patch".
 func newDecodeLimitError(source string, err error) error {
 	message := source + ": " + err.Error()
 	var limitError *decodelimit.Error
@@ -76,8 +79,8 @@
 	return apierrors.NewBadRequest(message)
 }
 
-// toStatusError converts an error that the engine returned to an error with an API status. The argument name
-// is the name of the object that the engine was called for.
+// toStatusError converts an error from the scheduler's engine to an error with an API status. The argument
+// name is the name of the object that the engine should have changed.
 func (r *request) toStatusError(err error, name string) error {
 	var invalidError *engine.InvalidError
 	switch {
--- a/internal/kube/api/fixture_test.go
+++ b/internal/kube/api/fixture_test.go
@@ -52,10 +52,11 @@
 	return &Server{Store: objects}
 }
 
-// newServer returns a server with a new engine that has received a list of the given nodes.
-func newServer(tb testing.TB, cfg engine.Config, now placer.Seconds, nodes ...*corev1.Node) *Server {
+// newServer returns a server with a new engine. The engine has received a list that contains the given
+// nodes.
+func newServer(tb testing.TB, engineConfig engine.Config, now placer.Seconds, nodes ...*corev1.Node) *Server {
 	tb.Helper()
-	jobEngine, err := engine.New(cfg)
+	jobEngine, err := engine.New(engineConfig)
 	if err != nil {
 		tb.Fatal(err)
 	}
@@ -63,7 +64,7 @@
 	return &Server{Store: jobEngine.Store(), Engine: jobEngine}
 }
 
-// newEngineServer returns a server with one node and an engine that has the default settings.
+// newEngineServer returns a server whose engine has the default settings and one node.
 func newEngineServer(tb testing.TB) *Server {
 	tb.Helper()
 	node := &corev1.Node{}
@@ -73,7 +74,8 @@
 	return newServer(tb, settings.Engine(1, 1000), 1000, node)
 }
 
-// newRequest returns an HTTP request. The header arguments are alternating names and values of header fields.
+// newRequest returns an HTTP request. The header arguments are the names and values of header fields: each
+// name is followed by its value.
 func newRequest(method, target, body string, header ...string) *http1.Request {
 	head := &http1.Head{Method: method, Target: target, MinorVersion: 1}
 	for i := 0; i+1 < len(header); i += 2 {
@@ -100,8 +102,8 @@
 	return string(protowire.AppendBytes(protowire.AppendTag(envelope, 2, protowire.BytesType), encodedObject))
 }
 
-// jobWithCPU returns a Job as JSON. Its container requests the given CPU quantity, which must be a string or
-// a number in JSON.
+// jobWithCPU returns a Job as JSON. The container of the Job requests the given CPU quantity. The argument
+// quantity must be a JSON string (with its quotation marks) or a JSON number.
 func jobWithCPU(quantity string) string {
 	return `{"metadata":{"name":"j"},"spec":{"template":{"spec":{"restartPolicy":"Never","containers":[{"name":"a","image":"b","resources":` +
 		`{"requests":{"cpu":` + quantity + `}}}]}}}}`
@@ -117,17 +119,18 @@
 	return "[" + strings.Join(operations, ",") + "]"
 }
 
-// checkAllocations fails the test if the function serve allocates more memory than allowed for a request body
-// of bodyBytes bytes. The limit grows with the size of the body up to a fixed maximum. The measurement
-// includes all allocations that the process makes while serve runs.
-func checkAllocations(tb testing.TB, bodyBytes int, serve func()) {
+// checkAllocations fails the test if the function serve allocates more memory than allowed for an input of
+// inputBytes bytes. The input is a request body or a pair of selectors. The limit grows with the size of
+// the input up to a fixed maximum. The measurement includes all allocations that the process makes while
+// serve runs.
+func checkAllocations(tb testing.TB, inputBytes int, serve func()) {
 	tb.Helper()
 	var statsBefore, statsAfter runtime.MemStats
 	runtime.ReadMemStats(&statsBefore)
 	serve()
 	runtime.ReadMemStats(&statsAfter)
-	limit := min(16<<20+2048*uint64(bodyBytes), 96<<20)
+	limit := min(16<<20+2048*uint64(inputBytes), 96<<20)
 	if allocatedBytes := statsAfter.TotalAlloc - statsBefore.TotalAlloc; allocatedBytes > limit {
-		tb.Errorf("serving a body of %d bytes allocated %d bytes, want at most %d bytes", bodyBytes, allocatedBytes, limit)
+		tb.Errorf("serving an input of %d bytes allocated %d bytes, want at most %d bytes", inputBytes, allocatedBytes, limit)
 	}
 }
--- a/internal/kube/api/list.go
+++ b/internal/kube/api/list.go
@@ -18,8 +18,9 @@
 	// maxInlineListBytes is the size up to which an encoded list is sent as a single response body. A larger
 	// list is sent as a stream and encoded while it is sent.
 	maxInlineListBytes = 64 << 10
-	// maxTableRows is the maximum number of rows in a Table, because a Table is encoded completely before it
-	// is sent. The response to a longer list contains a continue token for the next page.
+	// maxTableRows is the maximum number of rows in a Table. The number is limited, because a Table is
+	// encoded completely before it is sent. If a list has more objects, the response contains a continue
+	// token for the next page.
 	maxTableRows = 1000
 	// maxRemainingItems is the maximum value of remainingItemCount, which is the number of list items after a
 	// page.
@@ -94,8 +95,8 @@
 	return revision, nil
 }
 
-// listSnapshot returns the snapshot from which a list request is answered. The requested page begins with the
-// first object whose key is greater than afterKey.
+// listSnapshot returns the snapshot that contains the objects for the response to a list request. The
+// requested page begins with the first object whose key is greater than the result afterKey.
 func (s *Server) listSnapshot(r *request) (snapshot store.Snapshot, afterKey string, err error) {
 	revision, err := parseResourceVersion(r.query.Get("resourceVersion"))
 	if err != nil {
@@ -130,7 +131,7 @@
 // continueToken identifies the position after a page of a list. Clients receive a continueToken as
 // base64-encoded JSON.
 type continueToken struct {
-	// Revision is the revision of the snapshot that all pages of the list show.
+	// Revision is the revision of the snapshot from which all pages of the list are read.
 	Revision int64 `json:"rv"`
 	// After is the key of the last object on the page.
 	After string `json:"after"`
@@ -155,8 +156,8 @@
 	return token, nil
 }
 
-// continuedSnapshot returns the snapshot that a continue token refers to. The next page begins with the first
-// object whose key is greater than afterKey.
+// continuedSnapshot returns the snapshot to which a continue token refers. The next page of the list begins
+// with the first object whose key is greater than the result afterKey.
 func (s *Server) continuedSnapshot(r *request, tokenText string) (snapshot store.Snapshot, afterKey string, err error) {
 	token, err := decodeContinueToken(tokenText)
 	if err != nil {
@@ -169,9 +170,11 @@
 	return snapshot, token.After, nil
 }
 
-// page describes one page of a list whose request has a limit.
+// page describes one page of a list. A list is divided into pages if the number of objects in a response is
+// limited.
 type page struct {
-	// objects contains the objects on the page if the caller of scanPage requested them.
+	// objects contains the objects on the page. It is nil if scanPage was called with collectObjects set to
+	// false.
 	objects []store.Object
 	// objectCount is the number of objects on the page.
 	objectCount int
@@ -179,13 +182,15 @@
 	lastKey string
 	// hasMore is true if at least one matching object follows the page.
 	hasMore bool
-	// remainingCount is the number of matching objects after the page, as far as scanPage counted them.
+	// remainingCount is how many matching objects scanPage has counted after the page. The snapshot may
+	// contain more of them, because scanPage may stop before the end of the snapshot.
 	remainingCount int64
 }
 
 // scanPage determines which objects of a snapshot are on a page. The result contains the objects themselves
 // only if collectObjects is true. If the selector matches every object, scanPage also counts the objects
-// after the page, up to maxRemainingItems. Otherwise it stops at the first matching object after the page.
+// after the page, up to maxRemainingItems. Otherwise scanPage stops at the first matching object after the
+// page.
 func scanPage(selector *objectSelector, snapshot store.Snapshot, afterKey string, limit int, collectObjects bool) page {
 	var result page
 	snapshot.Scan(selector.namespace, afterKey, func(key string, change *store.Change) bool {
@@ -207,8 +212,9 @@
 	return result
 }
 
-// listPage returns a response with one page of a list, either as a Table or as JSON. A list in JSON is built
-// from the cached encodings of the objects, which lists and watches share.
+// listPage returns a response that contains one page of a list, either as a Table or as a plain JSON list.
+// A plain JSON list is built from the cached JSON encodings of the objects. Lists and watches share these
+// cached encodings.
 func (s *Server) listPage(r *request, selector objectSelector, snapshot store.Snapshot, afterKey string, limit int) (http1.Response, error) {
 	asTable := r.Head.Method == http.MethodGet && prefersTable(r.Head.Header.Get("Accept"))
 	if asTable && (limit == 0 || limit > maxTableRows) {
@@ -237,18 +243,19 @@
 	return stream.response(r.resourceType, &listMeta)
 }
 
-// listStream is a stream that sends a list of the objects in a snapshot. It encodes the objects while the
-// list is sent, because the complete encoded list could take too much memory. The snapshot itself keeps
-// outdated objects in memory. To limit this memory, the stream ends early if the store's history no longer
-// contains the revision of the snapshot.
+// listStream is a stream that sends a list of those objects in a snapshot that match a selector. It encodes
+// the objects while the list is sent, because the complete encoded list could take too much memory. The
+// snapshot itself keeps outdated objects in memory. To limit this memory, the stream ends early if the
+// store's history no longer contains the revision of the snapshot.
 type listStream struct {
 	server   *Server
 	selector objectSelector
 	snapshot store.Snapshot
-	// lastScannedKey is the key of the last object that was appended to the list or that did not match the
-	// selector.
+	// lastScannedKey is the key of the last object that the stream has read from the snapshot. The stream
+	// either has appended this object to the list or has skipped it because it does not match the selector.
 	lastScannedKey string
-	// itemsLeft is the number of items that may still be appended. It has no meaning if unlimited is true.
+	// itemsLeft is the number of items that may still be appended to the list. The stream ignores itemsLeft
+	// if unlimited is true.
 	itemsLeft    int
 	unlimited    bool
 	itemsWritten int
@@ -258,8 +265,8 @@
 	broken bool
 }
 
-// response returns the HTTP response with the list. A small list is the response body, and a large list is
-// sent as a stream.
+// response returns the HTTP response that contains the list. A small list is sent as a single response
+// body, and a large list is sent as a stream.
 func (l *listStream) response(listedType *resourceType, listMeta *metav1.ListMeta) (http1.Response, error) {
 	metaText, err := json.Marshal(listMeta)
 	if err != nil {
--- a/internal/kube/api/request.go
+++ b/internal/kube/api/request.go
@@ -120,8 +120,8 @@
 	return r.parseObjectSegments(remaining[1:])
 }
 
-// cutGroupVersion removes the API group and version from the path segments. It returns false if the server
-// does not serve the group or version, or if no segment remains.
+// cutGroupVersion removes the API group and version from the beginning of the path segments. It returns
+// false if the server does not serve the group or version, or if no segment remains.
 func cutGroupVersion(path []string) (remaining []string, ok bool) {
 	switch {
 	case len(path) >= 3 && path[0] == "api" && path[1] == "v1":
@@ -132,8 +132,8 @@
 	return nil, false
 }
 
-// parseObjectSegments parses the path segments after the resource name. They are an optional object name and
-// an optional subresource.
+// parseObjectSegments parses the path segments after the resource name. These segments are an optional
+// object name and an optional subresource.
 func (r *request) parseObjectSegments(segments []string) error {
 	if len(segments) == 0 {
 		return nil
@@ -173,8 +173,9 @@
 }
 
 // acceptsJSONOrProtobuf reports whether an Accept header allows JSON or the protobuf encoding. The server
-// uses the protobuf encoding only for watches. A client that accepts only the protobuf encoding receives
-// every other response as JSON, as the Content-Type header of the response states.
+// uses the protobuf encoding only for watches. Even a client that accepts only the protobuf encoding
+// receives all responses except watch streams as JSON. The Content-Type header of such a response states
+// that the body is JSON.
 func acceptsJSONOrProtobuf(accept string) bool {
 	if accept == "" {
 		return true
@@ -192,8 +193,8 @@
 	return false
 }
 
-// dryRun reports whether a client requests a dry run. The client does so in the query parameter dryRun or in
-// the field dryRun of the request body, whose value is bodyValues.
+// dryRun reports whether a client requests a dry run, either in the query parameter dryRun or in the field
+// dryRun of the request body. The argument bodyValues contains the value of this field.
 func (r *request) dryRun(bodyValues []string) (bool, error) {
 	values := slices.Concat(r.query["dryRun"], bodyValues)
 	for _, value := range values {
--- a/internal/kube/api/resources.go
+++ b/internal/kube/api/resources.go
@@ -26,11 +26,11 @@
 	// selectableFields contains the fields that a field selector may use in addition to metadata.name and
 	// metadata.namespace.
 	selectableFields []string
-	// selectableValues returns the values that an object has in the selectable fields.
+	// selectableValues returns the values that the fields in selectableFields have in an object.
 	selectableValues func(o store.Object) fields.Set
 }
 
-// resourceTypes contains the resources that the API serves.
+// resourceTypes contains a description of each resource that the server serves.
 var resourceTypes = map[store.Resource]*resourceType{
 	store.Jobs: {
 		resource:         store.Jobs,
@@ -95,8 +95,9 @@
 // supports reports whether the resource supports an API verb, such as "create".
 func (t *resourceType) supports(verb string) bool { return slices.Contains(t.verbs, verb) }
 
-// findResourceType returns the resource type with the given plural name in the core group or, if inCoreGroup
-// is false, in the batch group. It returns nil if the group has no such resource type.
+// findResourceType returns the resource type with the given plural name. It searches the core group of the
+// API if inCoreGroup is true, and the batch group otherwise. The result is nil if the group has no such
+// resource type.
 func findResourceType(name string, inCoreGroup bool) *resourceType {
 	for _, servedType := range resourceTypes {
 		typeInCoreGroup := servedType.groupVersion.Group == ""
--- a/internal/kube/api/response.go
+++ b/internal/kube/api/response.go
@@ -20,7 +20,8 @@
 
 const jsonType = "application/json"
 
-// encodeJSON returns an object with its kind and API version as JSON.
+// encodeJSON returns the JSON encoding of an object. The encoding includes the kind and API version of the
+// object.
 func encodeJSON(o runtime.Object) ([]byte, error) {
 	switch object := o.(type) {
 	case *batchv1.Job:
@@ -63,8 +64,8 @@
 	return "v1", "Status"
 }
 
-// encodeJSONOrNull returns an object as JSON, or the JSON value null if the encoding fails. Streams use it,
-// because they cannot report an error after the header of the response was sent.
+// encodeJSONOrNull returns an object as JSON, or the JSON value null if the encoding fails. Streams use
+// this function, because they cannot report an error after the header of the response has been sent.
 func encodeJSONOrNull(o runtime.Object) []byte {
 	text, err := encodeJSON(o)
 	if err != nil {
@@ -73,8 +74,8 @@
 	return text
 }
 
-// cachedJSON returns the object of a change as JSON. The first call stores the encoding in the change, and
-// later calls reuse it.
+// cachedJSON returns the JSON encoding of the object in a store.Change. The first call stores the encoding
+// in the store.Change, and later calls reuse this encoding.
 func cachedJSON(change *store.Change) []byte {
 	if change.JSON == nil {
 		change.JSON = encodeJSONOrNull(change.Object)
@@ -96,7 +97,7 @@
 	return http1.Response{Status: status, Header: contentType(jsonType), Body: body}
 }
 
-// jsonResponse encodes a value as JSON and returns a response with this body.
+// jsonResponse returns a response whose body is the JSON encoding of the given value.
 func jsonResponse(status int, value any) (http1.Response, error) {
 	body, err := json.Marshal(value)
 	if err != nil {
@@ -105,7 +106,7 @@
 	return encodedJSONResponse(status, append(body, '\n')), nil
 }
 
-// objectResponse encodes an API object as JSON and returns a response with this body.
+// objectResponse returns a response whose body is the JSON encoding of the given API object.
 func objectResponse(status int, o store.Object) (http1.Response, error) {
 	body, err := encodeJSON(o)
 	if err != nil {
--- a/internal/kube/api/selector.go
+++ b/internal/kube/api/selector.go
@@ -75,9 +75,10 @@
 	return selector, nil
 }
 
-// checkSelectorTerms returns an error if a label or field selector has too many terms, because every term is
-// compared with every object of a list. The check counts commas in order not to parse a long selector. Commas
-// separate requirements and also the values of a requirement.
+// checkSelectorTerms returns an error if a label or field selector has too many terms. The number of terms
+// is limited, because every term is compared with every object of a list. The check counts commas and does
+// not parse the selector, because the selector may be long. A comma separates either two requirements or
+// two values of one requirement.
 func checkSelectorTerms(parameter, text string) error {
 	if commaCount := strings.Count(text, ","); commaCount >= maxSelectorTerms {
 		return apierrors.NewRequestEntityTooLargeError(fmt.Sprintf("%s: %d terms: at most %d", parameter, commaCount+1, maxSelectorTerms))
@@ -85,8 +86,8 @@
 	return nil
 }
 
-// isSelectable reports whether a field selector for objects of this type may use the field with the given
-// name.
+// isSelectable reports whether a field selector for objects of this resource type may use the field with
+// the given name.
 func (t *resourceType) isSelectable(name string) bool {
 	return name == "metadata.name" || name == "metadata.namespace" || slices.Contains(t.selectableFields, name)
 }
--- a/internal/kube/api/session_test.go
+++ b/internal/kube/api/session_test.go
@@ -24,12 +24,12 @@
 // apiSession sends requests to one server at increasing times. It records the status, the header fields and a
 // digest of the body of each response.
 //
-// The golden files are updated with HEATHSHED_UPDATE_GOLDEN=1, but only if a change of behavior is intended.
-// Package goldentest describes this variable.
+// If a change of behavior is intended, run the tests with the environment variable
+// HEATHSHED_UPDATE_GOLDEN=1 to update the golden files. Package goldentest describes this variable.
 type apiSession struct {
 	server *Server
 	engine *engine.Engine
-	// now is the present Unix time of the session.
+	// now is the current Unix time in the session.
 	now      placer.Seconds
 	recorder *goldentest.Recorder
 }
@@ -42,13 +42,13 @@
 }
 
 // newSessionWith returns a session with a server whose engine has the given configuration and three nodes.
-func newSessionWith(t *testing.T, cfg engine.Config) *apiSession {
+func newSessionWith(t *testing.T, engineConfig engine.Config) *apiSession {
 	t.Helper()
 	var nodes []*corev1.Node
 	for i, nodeType := range []string{"standard", "large", "standard"} {
 		nodes = append(nodes, newReadyNode(fmt.Sprintf("node-%d", i+1), nodeType, i))
 	}
-	server := newServer(t, cfg, sessionStart, nodes...)
+	server := newServer(t, engineConfig, sessionStart, nodes...)
 	server.Version = "test"
 	server.DefaultListLimit = 50
 	server.Metrics = func() []byte { return []byte("metric 1\n") }
@@ -58,7 +58,8 @@
 	return &apiSession{server: server, engine: server.Engine, now: sessionStart, recorder: goldentest.NewRecorder()}
 }
 
-// newReadyNode returns a node that is ready and has free capacity. Its IP address is derived from the index.
+// newReadyNode returns a node that is ready and has free capacity. The IP address of the node is derived
+// from the argument index.
 func newReadyNode(name, nodeType string, index int) *corev1.Node {
 	node := &corev1.Node{}
 	node.Name = name
@@ -107,8 +108,8 @@
 	}
 }
 
-// send makes the server handle a request, and records and returns the response. The header arguments are
-// alternating names and values of header fields.
+// send passes a request to the server, records the response and returns it. The header arguments are the
+// names and values of header fields: each name is followed by its value.
 func (session *apiSession) send(method, target, body string, header ...string) http1.Response {
 	response := session.server.Serve(session.now, newRequest(method, target, body, header...))
 	session.recorder.Line("%s %s %s -> %d %q, %d bytes, %s", method, target, strings.Join(header, " "),
@@ -173,8 +174,8 @@
 		`"containers":[{"name":"main","image":"image","resources":{"requests":{"cpu":"500m","memory":"1Gi"}}}]%s}}}}`, name, taskCount, taskCount, extraPodSpec)
 }
 
-// createInitialJobs creates four Jobs and advances the time after each of them. Some of their tasks run
-// afterwards.
+// createInitialJobs creates four Jobs and advances the time of the session after the creation of each Job.
+// Afterwards, some tasks of these Jobs are running.
 func (session *apiSession) createInitialJobs() {
 	for i := range 4 {
 		session.post(jobsPath, jobJSON(fmt.Sprintf("job-%d", i), "", i+1))
--- a/internal/kube/api/table.go
+++ b/internal/kube/api/table.go
@@ -146,8 +146,8 @@
 }
 
 // These constants are values of the query parameter includeObject. With includeFullObject, a table row
-// contains the complete object. With includeNoObject, it contains no object. With any other value, it
-// contains the metadata of the object.
+// contains the complete object. With includeNoObject, a table row contains no object. With any other value
+// of the parameter, a table row contains the metadata of the object.
 const (
 	includeFullObject = "Object"
 	includeNoObject   = "None"
--- a/internal/kube/api/update.go
+++ b/internal/kube/api/update.go
@@ -57,21 +57,21 @@
 	return objectResponse(http.StatusOK, storedObject)
 }
 
-// decodeUpdate decodes the updated object that a request describes into the argument into. The body of a PUT
-// request contains this object. The body of a PATCH request contains a patch that changes the current object
-// to the updated one.
-func (r *request) decodeUpdate(currentObject, into store.Object) error {
+// decodeUpdate reads the updated object from a request and stores it in updatedObject. The body of a PUT
+// request contains the updated object itself. The body of a PATCH request contains a patch, which is
+// applied to currentObject.
+func (r *request) decodeUpdate(currentObject, updatedObject store.Object) error {
 	if r.Head.Method == http.MethodPut {
-		return r.decode(into, r.resourceType.kind)
+		return r.decode(updatedObject, r.resourceType.kind)
 	}
-	patchedJSON, err := r.applyPatch(currentObject, into)
+	patchedJSON, err := r.applyPatch(currentObject, updatedObject)
 	if err != nil {
 		return err
 	}
-	return r.decodeJSON(patchedJSON, into, r.resourceType.kind)
+	return r.decodeJSON(patchedJSON, updatedObject, r.resourceType.kind)
 }
 
-// applyUpdate calls the engine to update a Job or a Node and returns the updated object.
+// applyUpdate calls the scheduler's engine to update a Job or a Node. It returns the updated Job or Node.
 func (s *Server) applyUpdate(r *request, currentObject, updatedObject store.Object, dryRun bool) (store.Object, error) {
 	if job, ok := updatedObject.(*batchv1.Job); ok {
 		setJobDefaults(job)
@@ -81,9 +81,10 @@
 	return s.Engine.UpdateNode(s.now, node, r.requestedUnschedulable(node, currentObject.(*corev1.Node)), dryRun)
 }
 
-// requestedUnschedulable returns the value that a request sets for the field spec.unschedulable of a Node.
-// The result is nil if the request does not set the field. A request sets the field if it changes the value.
-// A patch also sets the field if it contains the field with the current value.
+// requestedUnschedulable returns the value to which a request sets the field spec.unschedulable of a Node.
+// The result is nil if the request does not set the field. A PUT or PATCH request sets the field if it
+// changes the value of the field. A PATCH request also sets the field if the patch contains the field with
+// its current value.
 func (r *request) requestedUnschedulable(updatedNode, currentNode *corev1.Node) *bool {
 	valueChanged := updatedNode.Spec.Unschedulable != currentNode.Spec.Unschedulable
 	setByPatch := r.Head.Method == http.MethodPatch && patchSetsUnschedulable(r.Body)
@@ -126,8 +127,8 @@
 	if err := decodelimit.CheckJSON(r.Body, decodelimit.ObjectLimits()); err != nil {
 		return nil, newDecodeLimitError("patch", err)
 	}
-	// The error is ignored, because the request is rejected below unless the media type is one of the patch
-	// types.
+	// The error from ParseMediaType is ignored, because the request is rejected below unless the media type
+	// is one of the patch types.
 	mediaType, _, _ := mime.ParseMediaType(r.Head.Header.Get("Content-Type"))
 	var patchedJSON []byte
 	switch types.PatchType(mediaType) {
@@ -154,8 +155,9 @@
 	return patchedJSON, nil
 }
 
-// applyJSONPatch applies a JSON patch. It limits the number of operations and the total size of copied
-// values, because a small patch can make an object very large by copying the object into itself repeatedly.
+// applyJSONPatch applies the JSON patch in the request body to an object that is encoded as JSON. It limits
+// the number of operations and the total size of copied values, because a small patch can make an object
+// very large by copying the object into itself repeatedly.
 func (r *request) applyJSONPatch(originalJSON []byte) ([]byte, error) {
 	patch, err := jsonpatch.DecodePatch(r.Body)
 	if err != nil {
--- a/internal/kube/api/validate.go
+++ b/internal/kube/api/validate.go
@@ -12,7 +12,7 @@
 	"k8s.io/apimachinery/pkg/util/validation/field"
 )
 
-// nonNegativeMessage is the detail of the error for a negative number or quantity.
+// nonNegativeMessage is the detail text of the error for a negative number or a negative quantity.
 const nonNegativeMessage = "must be greater than or equal to 0"
 
 // validateLabelsAndAnnotations checks the labels and annotations of an object, including the total size of
--- a/internal/kube/api/watch.go
+++ b/internal/kube/api/watch.go
@@ -16,7 +16,7 @@
 )
 
 const (
-	// bookmarkInterval is the time between two bookmarks of a watch.
+	// bookmarkInterval is the time between two bookmark events of a watch.
 	bookmarkInterval = placer.Seconds(60)
 	// defaultWatchTimeout is the time after which a watch ends if the client requests no other time.
 	defaultWatchTimeout = placer.Seconds(1800)
@@ -26,16 +26,16 @@
 
 	// maxUnbatchedWatches is the largest number of open watches for which the batch delay is 0.
 	maxUnbatchedWatches = 50
-	// batchDelayPerWatch is the part of the batch delay that each open watch adds.
+	// batchDelayPerWatch is the time that each open watch adds to the batch delay.
 	batchDelayPerWatch = placer.Seconds(4e-6)
 	// maxBatchDelay is the maximum batch delay.
 	maxBatchDelay = placer.Seconds(0.05)
 )
 
-// WatchBatchDelay returns the batch delay, which is the time for which changes are collected before they are
-// sent to the open watches. The delay is 0 for a small number of watches. For a larger number, it grows by a
-// few microseconds per watch. The delay bounds the fraction of time that is spent on sending, even if objects
-// change at a high rate.
+// WatchBatchDelay returns the batch delay, which is the time for which changes are collected before they
+// are sent to the open watches. The delay is 0 for a small number of watches. For a larger number of
+// watches, the delay grows by a few microseconds per watch. The delay bounds the fraction of time that is
+// spent on sending, even if objects change at a high rate.
 func WatchBatchDelay(openWatches int) placer.Seconds {
 	if openWatches <= maxUnbatchedWatches {
 		return 0
@@ -50,8 +50,8 @@
 // must call SetTime before it calls Pull on the stream of a watch.
 func (s *Server) SetTime(now placer.Seconds) { s.now = now }
 
-// CloseWatches ends all open watches and rejects new ones. The stream of an open watch ends with the next
-// call of its Pull method.
+// CloseWatches ends all open watches and makes the server reject requests for new watches. The stream of an
+// open watch ends with the next call of its Pull method.
 func (s *Server) CloseWatches() { s.closing = true }
 
 // watchOptions contains the parameters of a watch request.
@@ -71,8 +71,8 @@
 	resourceVersion int64
 }
 
-// parseWatchOptions returns the options that the query parameters of a watch request describe. The caller
-// passes the resource version in the request, which is 0 if the request states none.
+// parseWatchOptions returns the options that the query parameters of a watch request describe. The argument
+// resourceVersion is the resource version in the request, or 0 if the request states none.
 func (r *request) parseWatchOptions(resourceVersion int64) (watchOptions, error) {
 	options := watchOptions{
 		timeout:         defaultWatchTimeout,
@@ -190,11 +190,11 @@
 	allowBookmarks bool
 	// nextBookmarkAt is the Unix time at which the next bookmark is due.
 	nextBookmarkAt placer.Seconds
-	// initialSnapshot contains the objects for the initial events. It is nil if there are no initial events
-	// or all of them have been sent.
+	// initialSnapshot contains the objects for the initial events. It is nil if the watch has no initial
+	// events or if the watcher has sent all of them.
 	initialSnapshot *store.Snapshot
-	// lastScannedKey is the key of the last object of the initial snapshot that was sent or that did not
-	// match the selector.
+	// lastScannedKey is the key of the last object that the watcher has read from the initial snapshot. The
+	// watcher either has sent this object or has skipped it because it does not match the selector.
 	lastScannedKey string
 	// initialEventsBookmark makes the watcher send a bookmark after the initial events.
 	initialEventsBookmark bool
@@ -220,8 +220,9 @@
 // Close removes the watcher from the open watches of the server. It implements http1.Stream.
 func (w *watcher) Close() { delete(w.server.watchers, w) }
 
-// appendInitialEvents appends an event for each object of the initial snapshot that matches the selector and
-// has not been sent yet. It stops when b has reached the target length.
+// appendInitialEvents appends the initial events that have not been sent yet, until b has reached the
+// target length. Each object in the initial snapshot has an initial event if the object matches the
+// selector.
 func (w *watcher) appendInitialEvents(b []byte, targetLength int) []byte {
 	for w.initialSnapshot != nil && len(b) < targetLength {
 		scannedCount := 0
@@ -297,8 +298,8 @@
 	case matchedBefore && change.Op == store.Deleted:
 		return w.appendChange(b, watch.Deleted, change)
 	case matchedBefore:
-		// The event contains the last state of the object that matched the selector. Its resource version is
-		// the revision of the change that ended the match.
+		// The event contains the object in the last state in which it matched the selector. The resource
+		// version in the event is the revision of the change after which the object no longer matches.
 		lastMatching := change.Previous.DeepCopyObject().(store.Object)
 		lastMatching.SetResourceVersion(strconv.FormatInt(change.Revision, 10))
 		return w.appendObject(b, watch.Deleted, lastMatching)
@@ -314,8 +315,8 @@
 	return w.appendObject(b, watch.Error, &status)
 }
 
-// appendBookmark appends a bookmark event. Its resource version is the revision up to which all changes have
-// been sent.
+// appendBookmark appends a bookmark event. The resource version in the event is the revision up to which
+// all changes have been sent.
 func (w *watcher) appendBookmark(b []byte, endOfInitialEvents bool) []byte {
 	w.nextBookmarkAt = w.server.now + bookmarkInterval
 	bookmark := w.selector.resourceType.newObject()
@@ -344,7 +345,8 @@
 	return appendJSONEvent(b, eventType, encodeJSONOrNull(o))
 }
 
-// appendJSONEvent appends an event with the given type and an object that is already encoded as JSON.
+// appendJSONEvent appends a JSON event with the given type to b. The argument encodedObject is the JSON
+// encoding of the object in the event.
 func appendJSONEvent(b []byte, eventType watch.EventType, encodedObject []byte) []byte {
 	b = append(b, `{"type":"`...)
 	b = append(b, eventType...)
