--- a/internal/kube/api/api.go
+++ b/internal/kube/api/api.go
@@ -4,8 +4,9 @@
 //
 // The package parses requests, calls package engine to change objects, and encodes responses. It opens no
 // sockets, reads no clock and makes no placement decisions: the caller passes the time with each request.
-// Package scheduler serves the API over HTTP. The emulated inventory uses this package without an engine and
-// serves a read-only API. The file docs/api.md lists the parts of the specification that are not implemented.
+// Package scheduler serves the API over HTTP. The nodes and the inventory (the server that lists all nodes) in
+// package emulator use package api without an engine and serve a read-only API. The file docs/api.md lists the
+// parts of the specification that are not implemented.
 //
 // New readers should start with Server.Serve (api.go). This method passes each request for API objects to
 // serveRead (get, list and watch) or to serveWrite (create, update and delete).
--- a/internal/kube/api/characterization_writes_test.go
+++ b/internal/kube/api/characterization_writes_test.go
@@ -87,7 +87,7 @@
 	return protobufObject("batch/v1", "Job", encodedJob)
 }
 
-// patch contains the body of a PATCH request and its media type.
+// patch contains the body of a PATCH request and the media type of this body.
 type patch struct{ mediaType, body string }
 
 // patchObjects sends valid and invalid patches of Jobs and of a Node.
--- a/internal/kube/api/session_test.go
+++ b/internal/kube/api/session_test.go
@@ -72,9 +72,10 @@
 	return node
 }
 
-// advance moves the time of the session forward by the given number of seconds and calls the engine whenever
-// one of its timers expires. It also answers the engine on behalf of the nodes: they accept and run every
-// task that the engine sends to them, and stop every task that the engine wants to stop.
+// advance moves the time of the session forward by the given number of seconds and calls the engine
+// whenever a timer of the engine expires. It also answers the engine on behalf of the nodes: the nodes
+// accept and run every task that the engine sends to them, and stop every task that the engine wants to
+// stop.
 func (session *apiSession) advance(seconds placer.Seconds) {
 	for endTime := session.now + seconds; session.now < endTime; {
 		session.now = min(max(session.engine.NextWake(), session.now+0.01), endTime)
--- a/internal/kube/api/watch.go
+++ b/internal/kube/api/watch.go
@@ -20,8 +20,8 @@
 	bookmarkInterval = placer.Seconds(60)
 	// defaultWatchTimeout is the time after which a watch ends if the client requests no other time.
 	defaultWatchTimeout = placer.Seconds(1800)
-	// maxChangesPerRead is the maximum number of changes that a watch reads from the store's history in one
-	// step.
+	// maxChangesPerRead is the maximum number of changes that a watch reads from the store's history with
+	// one call of ChangesSince.
 	maxChangesPerRead = 512
 
 	// maxUnbatchedWatches is the largest number of open watches for which the batch delay is 0.
@@ -170,8 +170,8 @@
 	return w, nil
 }
 
-// newWatchExpiredError returns the error for a watch that needs changes that the store's history no longer
-// contains.
+// newWatchExpiredError returns the error for a watch if the store's history no longer contains the changes
+// that the watch needs.
 func newWatchExpiredError(revision, currentRevision int64) *apierrors.StatusError {
 	return newResourceVersionExpiredError(fmt.Sprintf("too old resource version: %d (%d)", revision, currentRevision))
 }
@@ -284,9 +284,10 @@
 	return b, timedOut
 }
 
-// appendFilteredChange appends the event that the watch sends for a change. The event type is ADDED if the
-// object starts to match the selector of the watch, and DELETED if it no longer matches. Nothing is appended
-// if the object matches neither before nor after the change.
+// appendFilteredChange appends the event that the watch sends for the change of an object. The event type
+// is ADDED if the object starts to match the selector of the watch, DELETED if the object was deleted or no
+// longer matches, and MODIFIED if the object matches before and after the change. Nothing is appended if
+// the object matches neither before nor after the change.
 func (w *watcher) appendFilteredChange(b []byte, change *store.Change) []byte {
 	matchesNow := change.Op != store.Deleted && w.selector.matches(change.Object)
 	matchedBefore := change.Previous != nil && w.selector.matches(change.Previous)
@@ -327,8 +328,8 @@
 	return w.appendObject(b, watch.Bookmark, bookmark)
 }
 
-// appendChange appends an event with the object of a change. All watches share the cached encoding of this
-// object.
+// appendChange appends an event that contains the object in a store.Change. All watches share the cached
+// encoding of this object.
 func (w *watcher) appendChange(b []byte, eventType watch.EventType, change *store.Change) []byte {
 	if w.useProtobuf {
 		return appendProtobufEvent(b, eventType, cachedProtobuf(change))
@@ -336,7 +337,7 @@
 	return appendJSONEvent(b, eventType, cachedJSON(change))
 }
 
-// appendObject appends an event with an object that only this watch sends. The encoding of such an object is
+// appendObject appends an event whose object is sent only by this watch. The encoding of such an object is
 // not cached.
 func (w *watcher) appendObject(b []byte, eventType watch.EventType, o runtime.Object) []byte {
 	if w.useProtobuf {
