--- a/internal/kube/api/characterization_writes_test.go
+++ b/internal/kube/api/characterization_writes_test.go
@@ -206,7 +206,7 @@
 // Together, these Jobs have more Pods than the engine allows.
 func TestCharacterizeFullServer(t *testing.T) {
 	settings := config.Default()
-	engineConfig := settings.Engine(1, 1000)
+	engineConfig := settings.EngineConfig(1, 1000)
 	engineConfig.MaxPods = 5
 	session := newSessionWith(t, engineConfig)
 	for i := range 3 {
--- a/internal/kube/api/fixture_test.go
+++ b/internal/kube/api/fixture_test.go
@@ -71,7 +71,7 @@
 	node.Name = "node-1"
 	node.Labels = map[string]string{wellknown.NodeType: "standard", wellknown.Rack: "r", wellknown.Zone: "z"}
 	settings := config.Default()
-	return newServer(tb, settings.Engine(1, 1000), 1000, node)
+	return newServer(tb, settings.EngineConfig(1, 1000), 1000, node)
 }
 
 // newRequest returns an HTTP request. The header arguments are the names and values of header fields: each
--- a/internal/kube/api/session_test.go
+++ b/internal/kube/api/session_test.go
@@ -38,7 +38,7 @@
 func newSession(t *testing.T) *apiSession {
 	t.Helper()
 	settings := config.Default()
-	return newSessionWith(t, settings.Engine(1, 1000))
+	return newSessionWith(t, settings.EngineConfig(1, 1000))
 }
 
 // newSessionWith returns a session with a server whose engine has the given configuration and three nodes.
