--- a/internal/config/decode.go
+++ b/internal/config/decode.go
@@ -12,12 +12,12 @@
 
 // decoder decodes JSON with comments into a struct and records the position of each setting.
 type decoder struct {
-	file        string // name of the file in errors
-	text        []byte // text as given to the decoder, with former names
-	renames     *Renames
+	file        string              // name of the file in error messages
+	text        []byte              // original text, which may contain former names
+	renames     *Renames            // former names that the text may contain
 	document    hujson.Value        // parsed text, in which decoding replaces former names by current names
-	positions   map[string]position // position of each setting in text, by its path in current names
-	formerNames []FormerName        // former names that the text uses
+	positions   map[string]position // position of each setting in the text; the map key is the path of the setting, written with current names
+	formerNames []FormerName        // former names that occur in the text
 }
 
 // position is the position of a setting in the text.
@@ -27,12 +27,13 @@
 }
 
 // decode decodes JSON with comments and trailing commas into the struct to which target points, and then
-// calls validate. An unknown or duplicate setting is an error. A setting that is absent from the text keeps
-// its value. The paths of settings in errors consist of current names.
+// calls the function validate. An unknown setting and a setting that occurs twice are errors. A setting that
+// is absent from the text keeps its value. In errors, the paths of settings are written with current names.
 func (d *decoder) decode(target any, validate func() error) error {
 	var err error
 	if d.document, err = hujson.Parse(d.text); err != nil {
-		// The message of the library contains the line and column.
+		// The message of package hujson contains the line and column of the syntax error, so the fields Line and
+		// Column refer to the start of the file.
 		return &Error{File: d.file, Line: 1, Column: 1, Message: strings.TrimPrefix(err.Error(), "hujson: ")}
 	}
 	d.positions = map[string]position{"": {valueOffset: d.document.StartOffset}}
@@ -42,7 +43,8 @@
 	return d.addPosition(validate())
 }
 
-// decodeValue decodes a JSON value into target. The argument path is the path of the setting in current names.
+// decodeValue decodes the JSON value of a setting into target. The parameter "path" is the path of the setting,
+// written with current names.
 func (d *decoder) decodeValue(value *hujson.Value, path string, target reflect.Value) error {
 	d.replaceFormerValue(value, path)
 	if target.Kind() == reflect.Pointer {
@@ -99,8 +101,8 @@
 	nameOffset int    // byte offset of the name in the text
 }
 
-// duplicateError returns the error for a setting that occurs twice in an object. The two occurrences may use
-// the former name and the current name of the setting.
+// duplicateError returns the error for a setting that occurs twice in an object. One occurrence may have the
+// former name of the setting and the other its current name.
 func (d *decoder) duplicateError(path string, first, second memberOccurrence) error {
 	if first.name == second.name {
 		return d.errorAt(second.nameOffset, path, "given twice")
@@ -145,7 +147,8 @@
 	return nil
 }
 
-// decodeLiteral decodes a string, number or boolean.
+// decodeLiteral decodes a JSON string, number or boolean into target. The literal begins at the given byte
+// offset in the text.
 func (d *decoder) decodeLiteral(literal hujson.Literal, offset int, path string, target reflect.Value) error {
 	if !setLiteral(literal, target) {
 		return d.errorAt(offset, path, "%.40s, want %s", literal, typeName(target))
@@ -153,7 +156,7 @@
 	return nil
 }
 
-// setLiteral sets target to the value of a literal. It reports whether the literal has the type of target.
+// setLiteral sets target to the value of a JSON literal. It reports whether the literal has the type of target.
 func setLiteral(literal hujson.Literal, target reflect.Value) bool {
 	if target.Type() == durationType {
 		return setDuration(literal, target)
@@ -179,7 +182,7 @@
 	return false
 }
 
-// setNumber sets a floating-point target to the value of a literal. It reports whether the literal is a
+// setNumber sets a floating-point target to the value of a JSON literal. It reports whether the literal is a
 // number in the range of float64.
 func setNumber(literal hujson.Literal, target reflect.Value) bool {
 	if literal.Kind() != '0' || math.IsInf(literal.Float(), 0) {
@@ -189,7 +192,7 @@
 	return true
 }
 
-// setInteger sets an integer target to the value of a literal. It reports whether the literal is a whole
+// setInteger sets an integer target to the value of a JSON literal. It reports whether the literal is a whole
 // number in the range of int64 and, if target is unsigned, is not negative.
 func setInteger(literal hujson.Literal, target reflect.Value) bool {
 	var number int64
@@ -207,12 +210,12 @@
 	return true
 }
 
-// memberName returns the name of an object member as written in the document.
+// memberName returns the name of a JSON object member as written in the parsed document.
 func memberName(member *hujson.ObjectMember) string {
 	return member.Name.Value.(hujson.Literal).String()
 }
 
-// joinPath appends the name of a member to the path of the enclosing object.
+// joinPath appends the name of an object member to the path of the enclosing object.
 func joinPath(path, name string) string {
 	if path == "" {
 		return name
@@ -220,8 +223,8 @@
 	return path + "." + name
 }
 
-// fieldNamed returns the field whose json tag contains the given name. It reports whether the struct has
-// such a field.
+// fieldNamed returns the field of a struct whose json tag contains the given name. It also reports whether the
+// struct has such a field.
 func fieldNamed(v reflect.Value, name string) (reflect.Value, bool) {
 	for i := range v.NumField() {
 		if jsonName(v.Type().Field(i)) == name {
@@ -242,13 +245,14 @@
 	return names
 }
 
-// jsonName returns the name from the json tag of a field, or "" if the tag contains none.
+// jsonName returns the name that the json tag of a field contains. It returns "" if the tag contains no name.
 func jsonName(field reflect.StructField) string {
 	name, _, _ := strings.Cut(field.Tag.Get("json"), ",")
 	return name
 }
 
-// typeName returns the description of the type of v for error messages.
+// typeName returns a description of the expected JSON type for error messages. The parameter v is the Go value
+// into which the JSON value would be decoded.
 func typeName(v reflect.Value) string {
 	if v.Type() == durationType {
 		return `a duration such as "250ms", or a number of seconds`
--- a/internal/config/default.go
+++ b/internal/config/default.go
@@ -8,7 +8,7 @@
 	"heathshed/internal/kube/engine"
 )
 
-// Default returns the default settings. The settings in a settings file replace them.
+// Default returns the default settings. A setting in a settings file replaces its default value.
 func Default() Settings {
 	return Settings{
 		Name:         "heathshed",
@@ -106,7 +106,7 @@
 	return []Class{web, batch, once, keyed, spread}
 }
 
-// defaultRetry returns the retry settings that correspond to retry.DefaultPolicy.
+// defaultRetry returns the retry settings whose values equal those of retry.DefaultPolicy.
 func defaultRetry() Retry {
 	policy := retry.DefaultPolicy()
 	return Retry{
@@ -118,7 +118,7 @@
 	}
 }
 
-// defaultAdmission returns the settings that correspond to admission.DefaultConfig.
+// defaultAdmission returns the admission settings whose values equal those of admission.DefaultConfig.
 func defaultAdmission() Admission {
 	controller := admission.DefaultConfig()
 	return Admission{
--- a/internal/config/derive.go
+++ b/internal/config/derive.go
@@ -14,8 +14,8 @@
 // its tenant.
 const overQuotaWeight = 0.2
 
-// EngineConfig returns the configuration of the engine of a scheduler. The resource versions of stored objects
-// are greater than baseRevision.
+// EngineConfig returns the configuration of the engine of a scheduler. The engine assigns resource versions
+// greater than baseRevision to stored objects. The random numbers of the engine depend on seed.
 func (s *Settings) EngineConfig(seed uint64, baseRevision int64) engine.Config {
 	memory := memquota.Divide(int64(s.Limits.MemoryMiB) << 20)
 	cfg := engine.Config{
@@ -48,7 +48,7 @@
 	return cfg
 }
 
-// controllerConfig returns the configuration of the admission controller.
+// controllerConfig returns the configuration of the admission controller that results from the settings.
 func (a *Admission) controllerConfig() admission.Config {
 	return admission.Config{
 		MinInFlight:      a.MinInFlight,
@@ -65,7 +65,7 @@
 	}
 }
 
-// policy returns the retry policy of the engine.
+// policy returns the retry policy for the engine, which results from the retry settings.
 func (r *Retry) policy() retry.Policy {
 	return retry.Policy{
 		Delay:                 placer.Seconds(r.Delay),
@@ -76,7 +76,7 @@
 	}
 }
 
-// placerConfig returns the configuration of package placer.
+// placerConfig returns the configuration of package placer that results from the settings.
 func (s *Settings) placerConfig() placer.Config {
 	cfg := placer.Config{
 		Peers:           placer.Peers{Self: s.Self, Total: s.Peers},
--- a/internal/config/duration.go
+++ b/internal/config/duration.go
@@ -15,8 +15,8 @@
 // Duration is a duration in seconds. In a settings file, a duration is a string with a unit, such as "250ms",
 // or a number of seconds.
 //
-// Duration is a floating-point number like the durations of the engine, not a time.Duration. A number of
-// seconds in a file is therefore passed to the engine without rounding, even if it is not a whole number of
+// Duration is a floating-point number like the durations of the engine, not a time.Duration. The engine
+// receives a number of seconds from a file without rounding, even if the number is not a whole number of
 // nanoseconds or exceeds the range of time.Duration.
 type Duration float64
 
@@ -26,23 +26,23 @@
 	if seconds := d / time.Second; seconds*time.Second == d {
 		return Duration(seconds)
 	}
-	// The division of two exact numbers rounds once. The method time.Duration.Seconds adds two rounded parts,
-	// so its result may be the next smaller or larger floating-point number.
+	// The division rounds only once, because both operands are exact. The method time.Duration.Seconds adds two
+	// rounded numbers, so its result may differ from the nearest floating-point number.
 	return Duration(float64(d) / float64(time.Second))
 }
 
 // Seconds returns the duration in seconds.
 func (d Duration) Seconds() float64 { return float64(d) }
 
-// Duration returns the duration rounded to nanoseconds. A duration outside the range of time.Duration yields
-// the largest or the smallest time.Duration.
+// Duration converts d to a time.Duration, rounded to nanoseconds. If d is outside the range of time.Duration,
+// the result is the largest or the smallest time.Duration.
 func (d Duration) Duration() time.Duration { return clock.Duration(d) }
 
-// isWholeNanoseconds reports whether conversion to time.Duration and back yields the same duration. Only in
-// this case can the string form of time.Duration represent the duration.
+// isWholeNanoseconds reports whether converting d to a time.Duration and back yields d again. Otherwise the
+// string form of time.Duration cannot represent d.
 func (d Duration) isWholeNanoseconds() bool { return DurationOf(d.Duration()) == d }
 
-// String returns the duration with its units, such as 250ms or 1h30m.
+// String returns the duration as text with units, such as 250ms or 1h30m.
 func (d Duration) String() string {
 	if !d.isWholeNanoseconds() {
 		return strconv.FormatFloat(float64(d), 'g', -1, 64) + "s"
@@ -57,8 +57,8 @@
 	return text
 }
 
-// MarshalJSON encodes the duration as a string with a unit. If parsing the string would not yield the same
-// duration, MarshalJSON encodes a number of seconds instead.
+// MarshalJSON encodes the duration as a JSON string with units. If a string cannot represent the duration
+// exactly, MarshalJSON encodes the duration as a number of seconds.
 func (d Duration) MarshalJSON() ([]byte, error) {
 	if !d.isWholeNanoseconds() {
 		return json.Marshal(float64(d))
@@ -66,10 +66,11 @@
 	return json.Marshal(d.String())
 }
 
+// durationType is the type for which the decoder also accepts a string with a unit.
 var durationType = reflect.TypeFor[Duration]()
 
-// setDuration sets target, a Duration, to the value of a literal. It reports whether the literal is a string
-// with a unit or a number of seconds.
+// setDuration sets target, which is of type Duration, to the value of a JSON literal. It reports whether the
+// literal is a valid duration: a string with a unit, or a number of seconds.
 func setDuration(literal hujson.Literal, target reflect.Value) bool {
 	if literal.Kind() != '"' {
 		return setNumber(literal, target)
--- a/internal/config/emulator.go
+++ b/internal/config/emulator.go
@@ -2,32 +2,33 @@
 
 import "time"
 
-// Emulator is the configuration of the emulated nodes and the emulated inventory of the commands up, emulate
-// and scenario. Schedulers do not use it. Package labconfig derives the configuration of the emulator from it.
+// Emulator is the configuration of the emulated nodes and the emulated inventory that the commands "up",
+// "emulate" and "scenario" start. Schedulers do not use these settings. Package labconfig derives the
+// configuration of the emulated nodes from the settings.
 type Emulator struct {
 	Nodes               int      `json:"nodes"`               // number of emulated nodes
 	Racks               int      `json:"racks"`               // number of racks over which the nodes are distributed
 	Zones               int      `json:"zones"`               // number of topology zones over which the nodes are distributed
-	ReportDelay         Duration `json:"reportDelay"`         // time after which the inventory shows a report of a node
-	UnresponsiveAfter   Duration `json:"unresponsiveAfter"`   // time without a report after which the inventory shows a node as not ready
-	RemoveAfter         Duration `json:"removeAfter"`         // time without a report after which the inventory removes a node; 0 means never
-	DecisionDelayMin    Duration `json:"decisionDelayMin"`    // minimum time that a node takes to decide on a request
-	DecisionDelayMax    Duration `json:"decisionDelayMax"`    // maximum time that a node takes to decide on a request
-	MaxQueued           int      `json:"maxQueued"`           // maximum number of requests that wait for the decision of a node
+	ReportDelay         Duration `json:"reportDelay"`         // delay after which the inventory shows the state that a node has reported
+	UnresponsiveAfter   Duration `json:"unresponsiveAfter"`   // time without a report from a node after which the inventory shows the node as not ready
+	RemoveAfter         Duration `json:"removeAfter"`         // time without a report from a node after which the inventory removes the node; 0 means never
+	DecisionDelayMin    Duration `json:"decisionDelayMin"`    // minimum time that a node takes to accept or reject an attempt
+	DecisionDelayMax    Duration `json:"decisionDelayMax"`    // maximum time that a node takes to accept or reject an attempt
+	MaxQueued           int      `json:"maxQueued"`           // maximum number of attempts that wait until a node accepts or rejects them
 	MaxConcurrentStarts int      `json:"maxConcurrentStarts"` // maximum number of tasks that a node starts at the same time
-	StartDuration       Duration `json:"startDuration"`       // duration of a task start if the program is cached and the node is past its slow start
-	UncachedStartFactor float64  `json:"uncachedStartFactor"` // factor by which StartDuration is multiplied if the program is not cached
-	ProgramCacheSize    int      `json:"programCacheSize"`    // number of programs that a node caches in addition to those that run
-	UsageMin            float64  `json:"usageMin"`            // minimum fraction of its requested resources that a task uses
-	UsageMax            float64  `json:"usageMax"`            // maximum fraction of its requested resources that a task uses
-	MeanLifetime        Duration `json:"meanLifetime"`        // mean lifetime of tasks whose task class sets no mean lifetime
-	DrainGrace          Duration `json:"drainGrace"`          // time after which a draining node terminates its tasks; a negative value means never
+	StartDuration       Duration `json:"startDuration"`       // duration of a task start if the program of the task is cached and the node is not in slow start
+	UncachedStartFactor float64  `json:"uncachedStartFactor"` // factor by which StartDuration is multiplied if the program of the task is not cached
+	ProgramCacheSize    int      `json:"programCacheSize"`    // number of programs that a node caches in addition to the programs of its running tasks
+	UsageMin            float64  `json:"usageMin"`            // minimum fraction of the requested resources that a task uses
+	UsageMax            float64  `json:"usageMax"`            // maximum fraction of the requested resources that a task uses
+	MeanLifetime        Duration `json:"meanLifetime"`        // mean lifetime of tasks for which Class.MeanLifetime is 0
+	DrainGrace          Duration `json:"drainGrace"`          // time from the start of a drain until the node terminates its tasks; a negative value means never
 	Seed                uint64   `json:"seed"`                // seed of the random number generators of the nodes
 }
 
-// defaultEmulator returns the default settings of the emulated cluster for the commands up and emulate. The
-// settings of its nodes equal those of nodesim.DefaultConfig. Package config must not import package nodesim,
-// so a test of package labconfig compares the settings.
+// defaultEmulator returns the default settings of the emulated cluster for the commands "up" and "emulate". The
+// settings of the emulated nodes equal those of nodesim.DefaultConfig. Package config must not import package
+// nodesim, so a test of package labconfig checks that they are equal.
 func defaultEmulator() Emulator {
 	return Emulator{
 		Nodes:               8,
@@ -51,7 +52,7 @@
 	}
 }
 
-// boundedSettings returns the settings of the emulator with their bounds.
+// boundedSettings returns the settings of the emulator with their smallest and largest permitted values.
 func (e *Emulator) boundedSettings() []boundedSetting {
 	return []boundedSetting{
 		boundedNumber("emulator.nodes", float64(e.Nodes), 1, 10000),
--- a/internal/config/former.go
+++ b/internal/config/former.go
@@ -1,6 +1,7 @@
 package config
 
-// settingRenames contains the settings and values that have been renamed since release 0.1.
+// settingRenames contains all settings and values that have been renamed since release 0.1, with their former
+// and current names.
 var settingRenames = Renames{
 	Keys: []RenamedKey{
 		{"", "kinds", "nodeTypes"},
--- a/internal/config/validate.go
+++ b/internal/config/validate.go
@@ -11,7 +11,7 @@
 	"heathshed/placer"
 )
 
-// idempotencies contains the permitted values of Class.Idempotency.
+// idempotencies maps the permitted values of Class.Idempotency to the constants of package placer.
 var idempotencies = map[string]placer.Idempotency{
 	"idempotent":   placer.Idempotent,
 	"deduplicated": placer.IdempotentByKey,
@@ -28,7 +28,7 @@
 	ClusterDomain = "cluster"
 )
 
-// topologyDomains contains the values of Class.DedupDomain and Class.SpreadDomain.
+// topologyDomains maps the values of Class.DedupDomain and Class.SpreadDomain to the constants of package placer.
 var topologyDomains = map[string]placer.TopologyDomain{
 	"":            placer.NoDomain,
 	NoDomain:      placer.NoDomain,
@@ -38,14 +38,14 @@
 	ClusterDomain: placer.ClusterDomain,
 }
 
-// shareTolerance is the permitted rounding error of the sum of the shares of all tenants.
+// shareTolerance is the permitted rounding error of the sum of all Tenant.Share values.
 const shareTolerance = 0.0001
 
 // maxClassDeadline is the largest permitted value of Class.Deadline, in seconds.
 const maxClassDeadline Duration = 3600
 
-// Validate checks settings that were set by Go code or by command-line flags. The error wraps a *FieldError
-// for the first invalid setting.
+// Validate checks settings that were set by Go code or by command-line flags. If a setting is invalid, Validate
+// returns an error that wraps the *FieldError for the first invalid setting.
 func (s *Settings) Validate() error {
 	if err := s.validate(); err != nil {
 		return fmt.Errorf("settings: %w", err)
@@ -53,7 +53,7 @@
 	return nil
 }
 
-// validate returns a *FieldError for the first invalid setting.
+// validate returns a *FieldError for the first invalid setting. If all settings are valid, it returns nil.
 func (s *Settings) validate() error {
 	if err := s.validateScheduler(); err != nil {
 		return err
@@ -101,7 +101,7 @@
 	return nil
 }
 
-// isLabelValue reports whether s is a valid Kubernetes label value and is not empty.
+// isLabelValue reports whether the string s is a valid and nonempty Kubernetes label value.
 func isLabelValue(s string) bool { return s != "" && len(validation.IsValidLabelValue(s)) == 0 }
 
 // validateTenants checks the tenants and the sum of their shares.
@@ -124,8 +124,8 @@
 	return nil
 }
 
-// validateNodeTypes checks the node types. It returns the permitted values of Class.NodeType: the names of the
-// node types, and "" for any node type.
+// validateNodeTypes checks the node types and returns the permitted values of Class.NodeType. The permitted
+// values are the names of the node types, and "" for any node type.
 func (s *Settings) validateNodeTypes() (names map[string]bool, err error) {
 	if len(s.NodeTypes) == 0 {
 		return nil, newFieldError("nodeTypes", "want one at least")
@@ -172,7 +172,7 @@
 }
 
 // validateRequests checks the settings of a task class that apply to its placement requests: idempotency,
-// deduplication, latency objective and deadline.
+// deduplication, latency objective and deadline. The parameter "path" is the path of the task class.
 func (c *Class) validateRequests(path string) error {
 	if _, known := idempotencies[c.Idempotency]; !known {
 		return newFieldError(path+".idempotency", "%q: want idempotent, deduplicated or at_most_once", c.Idempotency)
@@ -193,7 +193,8 @@
 	return nil
 }
 
-// validatePlacement checks the settings of a task class that apply to the selection of a node.
+// validatePlacement checks the settings of a task class that apply to the selection of a node. The parameter
+// "path" is the path of the task class, and nodeTypes contains the permitted values of Class.NodeType.
 func (c *Class) validatePlacement(path string, nodeTypes map[string]bool) error {
 	if !nodeTypes[c.NodeType] {
 		return newFieldError(path+".nodeType", "%q is not among nodeTypes", c.NodeType)
@@ -213,30 +214,31 @@
 	return nil
 }
 
-// isNoDomain reports whether domain is one of the two values that mean no topology domain.
+// isNoDomain reports whether the value of Class.DedupDomain or Class.SpreadDomain means no topology domain.
 func isNoDomain(domain string) bool { return domain == "" || domain == NoDomain }
 
-// boundedSetting is the value of a setting with its smallest and its largest permitted value.
+// boundedSetting contains the value of a setting, and the smallest and the largest permitted value.
 type boundedSetting struct {
 	path            string // path of the setting
 	value, min, max float64
-	isDuration      bool // the value and its bounds are durations in seconds
+	isDuration      bool // if true, the fields value, min and max are durations in seconds
 }
 
-// boundedNumber returns the boundedSetting for a number.
+// boundedNumber returns the boundedSetting for a setting whose value is a number.
 func boundedNumber(path string, value, least, greatest float64) boundedSetting {
 	return boundedSetting{path: path, value: value, min: least, max: greatest}
 }
 
-// boundedDuration returns the boundedSetting for a duration. Untyped constants as bounds are in seconds.
+// boundedDuration returns the boundedSetting for a setting whose value is a duration. A bound without a unit,
+// such as 0.01, is a number of seconds, because Duration is a number of seconds.
 func boundedDuration(path string, value, least, greatest Duration) boundedSetting {
 	return boundedSetting{path: path, value: value.Seconds(), min: least.Seconds(), max: greatest.Seconds(), isDuration: true}
 }
 
-// isWithinBounds reports whether the value is within its bounds. It returns false for NaN.
+// isWithinBounds reports whether the value of the setting is within its bounds. The result for NaN is false.
 func (b *boundedSetting) isWithinBounds() bool { return b.value >= b.min && b.value <= b.max }
 
-// error returns the *FieldError for a value that is not within its bounds.
+// error returns the *FieldError for a setting whose value is not within its bounds.
 func (b *boundedSetting) error() error {
 	if b.isDuration {
 		return newFieldError(b.path, "%v: want %v to %v", Duration(b.value), Duration(b.min), Duration(b.max))
@@ -244,7 +246,8 @@
 	return newFieldError(b.path, "%v: want %v to %v", b.value, b.min, b.max)
 }
 
-// boundedPolicySettings returns the settings of NodePolicy, Timing, Costs and Retry with their bounds.
+// boundedPolicySettings returns the settings of NodePolicy, Timing, Costs and Retry with their smallest and
+// largest permitted values.
 func (s *Settings) boundedPolicySettings() []boundedSetting {
 	return []boundedSetting{
 		boundedNumber("nodePolicy.overcommitCores", s.NodePolicy.OvercommitCores, 0.1, 100),
@@ -268,7 +271,7 @@
 	}
 }
 
-// boundedAdmissionSettings returns the settings of Admission with their bounds.
+// boundedAdmissionSettings returns the settings of Admission with their smallest and largest permitted values.
 func (s *Settings) boundedAdmissionSettings() []boundedSetting {
 	a := &s.Admission
 	return []boundedSetting{
@@ -285,7 +288,8 @@
 	}
 }
 
-// boundedLimits returns the settings of Limits and the top-level timeouts with their bounds.
+// boundedLimits returns the settings of Limits and the timeouts outside of all sections with their smallest and
+// largest permitted values.
 func (s *Settings) boundedLimits() []boundedSetting {
 	l := &s.Limits
 	return []boundedSetting{
