--- a/internal/config/characterization_test.go
+++ b/internal/config/characterization_test.go
@@ -15,13 +15,14 @@
 	"heathshed/internal/testsupport/goldentest"
 )
 
-// The tests in this file compare printed settings, the configurations derived from settings, and error messages
-// with golden files. The golden files may be regenerated with HEATHSHED_UPDATE_GOLDEN=1 only if a change of
-// behaviour is intended; see package goldentest.
+// The tests in this file compare the text of settings, the configurations derived from settings, and error
+// messages with golden files. The golden files may be regenerated with HEATHSHED_UPDATE_GOLDEN=1 only if a change
+// of behaviour is intended. Package goldentest describes this environment variable.
 
-// TestCharacterizeSettings records the printed default settings, the printed settings of valid files, and the
-// errors of invalid files. The configurations derived from the valid files have a separate golden file, which
-// contains no names of settings. Files with former names can therefore be compared with the same golden file.
+// TestCharacterizeSettings compares the text of the default settings, the text of the settings from valid files,
+// and the errors of invalid files with the golden file "settings". It compares the configurations derived from
+// valid files with the golden file "derived". That file contains no names of settings, so
+// TestFormerNamesGiveSameDerivedConfig can use it for files with former names.
 func TestCharacterizeSettings(t *testing.T) {
 	printed, derived := goldentest.NewRecorder(), goldentest.NewRecorder()
 	defaults := config.Default()
@@ -46,16 +47,17 @@
 	derived.Check(t, "derived")
 }
 
-// TestFormerNamesGiveSameDerivedConfig guards against a former name that is mapped to the wrong setting. It
-// makes the same changes to a file with the names of release 0.1 that TestCharacterizeSettings makes to a file
-// with current names, and compares the derived configurations with the golden file of that test.
+// TestFormerNamesGiveSameDerivedConfig guards against a former name that is mapped to the wrong setting. The test
+// starts from a file with the names of release 0.1, and replaces the value of one setting at a time. The
+// configurations derived from the resulting files must equal the golden file "derived". In that golden file,
+// TestCharacterizeSettings has recorded the configurations derived from the same files with current names.
 func TestFormerNamesGiveSameDerivedConfig(t *testing.T) {
-	former, err := os.ReadFile("testdata/settings-0.1.json")
+	release01Text, err := os.ReadFile("testdata/settings-0.1.json")
 	if err != nil {
 		t.Fatal(err)
 	}
 	derived := goldentest.NewRecorder()
-	for i, file := range settingsFiles(strings.TrimSuffix(string(former), "\n")) {
+	for i, file := range settingsFiles(strings.TrimSuffix(string(release01Text), "\n")) {
 		if parsed, err := config.Parse("f", []byte(file)); err == nil {
 			recordDerived(derived, i, &parsed)
 		}
@@ -63,18 +65,21 @@
 	derived.Check(t, "derived")
 }
 
-// classFile returns the text of a file with a single task class, which is the default. The task class has the
-// given fields in addition to its name.
+// classFile returns the text of a settings file with a single task class, which is also the default task class.
+// The task class has the given fields in addition to its name.
 func classFile(fields string) string {
 	return `{"classes": [{"name": "a", ` + fields + `}], "defaultClass": "a"}`
 }
 
-// settingsFiles returns the texts of valid and invalid settings files. They include text, which contains the
-// default settings, and copies of text in which the value of one setting has been replaced. The replacement
-// values include values of the wrong type and values out of range.
+// settingsFiles returns the texts of valid and invalid settings files. The parameter "text" is the text of a file
+// with the default settings. The result contains this text, and copies of it in which the value of one setting
+// has been replaced. Some of the replacement values have the wrong type, and others are out of range.
+//
+// The other files are short, and most of them contain one error, such as an unknown node type. Some of them use
+// names of release 0.1, such as nodeKind for nodeType and apartBy for spreadDomain.
 func settingsFiles(text string) []string {
-	const classTail = `, "aim": 1, "deadline": 2, "worth": 1, "calmUpTo": 1, "fadesOver": 1`
-	const node, idempotent = `{"name": "k", "cores": 4, "memory": 8}`, `"effect": "idempotent"`
+	const validFields = `, "aim": 1, "deadline": 2, "worth": 1, "calmUpTo": 1, "fadesOver": 1`
+	const nodeType, idempotentField = `{"name": "k", "cores": 4, "memory": 8}`, `"effect": "idempotent"`
 	files := []string{
 		"", "{}", "// c\n{ /* d */ \"name\": \"a\", }", `{"naem": "a"}`, "{\n\"name\": \"a\",\n\"name\": \"b\"}", `{"name": }`, "[]", "3",
 		`{"peers": 1.5}`, `{"peers": 2, "self": 2}`, `{"classes": []}`, `{"kinds": []}`, `{"defaultClass": "x"}`, `{"logLevel": "loud"}`,
@@ -82,10 +87,10 @@
 		`{"tenants": [{"name": "a"}, {"name": "a"}]}`,
 		`{"tenants": [{"name": "a", "share": 0.6}, {"name": "b", "share": 0.6}]}`,
 		`{"tenants": [{"name": "a", "share": -1}]}`,
-		classFile(idempotent + `, "aim": 1`), `{"classes": [{"name": "x", "effect": "maybe"}]}`, classFile(`"effect": "deduplicated"` + classTail),
-		classFile(idempotent + classTail + `, "nodeKind": "x"`), classFile(idempotent + classTail + `, "apartBy": "rack"`),
-		`{"kinds": [` + node + `, ` + node + `]}`, `{"kinds": [{"name": "k", "cores": 0, "memory": 8}]}`,
-		`{"kinds": [` + node + `], "standin": {"zones": 3, "racks": 4}, "self": 1, "peers": 3}`,
+		classFile(idempotentField + `, "aim": 1`), `{"classes": [{"name": "x", "effect": "maybe"}]}`, classFile(`"effect": "deduplicated"` + validFields),
+		classFile(idempotentField + validFields + `, "nodeKind": "x"`), classFile(idempotentField + validFields + `, "apartBy": "rack"`),
+		`{"kinds": [` + nodeType + `, ` + nodeType + `]}`, `{"kinds": [{"name": "k", "cores": 0, "memory": 8}]}`,
+		`{"kinds": [` + nodeType + `], "standin": {"zones": 3, "racks": 4}, "self": 1, "peers": 3}`,
 		`{"standin": 1}`, `{"gate": {"on": false}}`, `{"gate": {"on": 1}}`, `{"rules": null}`, text,
 	}
 	for _, line := range strings.Split(text, "\n") {
@@ -104,7 +109,7 @@
 	return files
 }
 
-// recordPrinted records the text of settings as Settings.Text prints it.
+// recordPrinted records the text that Settings.Text returns for the given settings.
 func recordPrinted(t *testing.T, record *goldentest.Recorder, settings *config.Settings) {
 	t.Helper()
 	text, err := settings.Text()
@@ -115,10 +120,11 @@
 	record.Checkpoint("  printed")
 }
 
-// recordDerived records everything that is derived from the settings of one file: the emulated nodes, the
-// priorities and lifetimes of tasks, and the configuration of the engine. Floating-point numbers are recorded
-// by their bits. The argument file is the index of the file.
-func recordDerived(record *goldentest.Recorder, file int, settings *config.Settings) {
+// recordDerived records everything that is derived from the settings in one file: the configuration of the
+// emulated nodes, the priorities and lifetimes of tasks, and the configuration of the engine. The bits of
+// floating-point numbers are recorded. The parameter fileIndex is the index of the file in the result of
+// settingsFiles.
+func recordDerived(record *goldentest.Recorder, fileIndex int, settings *config.Settings) {
 	for i := range 9 {
 		recordNode(record, labconfig.NodeAt(settings, i))
 	}
@@ -127,10 +133,11 @@
 	record.Bytes(priorities)
 	record.Bytes(lifetimes)
 	recordEngine(record, settings.EngineConfig(7, 11))
-	record.Checkpoint(fmt.Sprintf("file %d derived", file))
+	record.Checkpoint(fmt.Sprintf("file %d derived", fileIndex))
 }
 
-// recordValues records the values in the given order. The kind of each value determines how it is recorded.
+// recordValues records the given values in their order. The reflect.Kind of a value determines the method of the
+// Recorder that records the value.
 func recordValues(record *goldentest.Recorder, values ...any) {
 	for _, value := range values {
 		switch reflected := reflect.ValueOf(value); reflected.Kind() {
@@ -143,12 +150,12 @@
 		case reflect.Int, reflect.Int64:
 			record.Integers(reflected.Int())
 		default:
-			record.Integers(int64(reflected.Uint())) // Uint panics if the value is not an unsigned integer
+			record.Integers(int64(reflected.Uint())) // the method Uint panics if the value is not an unsigned integer
 		}
 	}
 }
 
-// recordNode records the configuration of an emulated node.
+// recordNode records the configuration of one emulated node.
 func recordNode(record *goldentest.Recorder, emulated labconfig.EmulatedNode) {
 	node := emulated.Sim
 	recordValues(record, emulated.NodeType, emulated.Rack, emulated.Zone, node.Cores, node.Memory, node.Overcommit.Cores, node.Overcommit.Memory)
@@ -159,30 +166,30 @@
 	recordValues(record, node.AnswerWhenRunning, node.Preempts, node.Cold)
 }
 
-// recordEngine records the configuration of an engine.
+// recordEngine records the configuration of the engine of a scheduler.
 func recordEngine(record *goldentest.Recorder, derived engine.Config) {
-	limits, retries, policy := derived.Admission, derived.Retry, derived.Placer
-	attempts, slowStart, behavior := policy.Attempts, policy.SlowStart, policy.NodeBehavior
-	recordValues(record, limits.MinInFlight, limits.MaxInFlight, limits.InitialInFlight, limits.DecreaseFactor, limits.DecreaseInterval)
-	recordValues(record, limits.LateFraction, limits.RetryRatio, limits.RetryRate, limits.RetryBurst)
-	recordValues(record, retries.Delay, retries.ShortDelay, retries.Multiplier, retries.MaxDelay, retries.UnknownOutcomeTimeout)
-	recordValues(record, derived.FinishedTTL, derived.NodeLossTimeout, policy.Overcommit.Cores, policy.Overcommit.Memory)
-	recordValues(record, attempts.ConnectTimeout, attempts.AnswerGrace, attempts.DrainGrace)
+	admissionConfig, retryPolicy, placerConfig := derived.Admission, derived.Retry, derived.Placer
+	attemptLimits, slowStart, behavior := placerConfig.Attempts, placerConfig.SlowStart, placerConfig.NodeBehavior
+	recordValues(record, admissionConfig.MinInFlight, admissionConfig.MaxInFlight, admissionConfig.InitialInFlight, admissionConfig.DecreaseFactor, admissionConfig.DecreaseInterval)
+	recordValues(record, admissionConfig.LateFraction, admissionConfig.RetryRatio, admissionConfig.RetryRate, admissionConfig.RetryBurst)
+	recordValues(record, retryPolicy.Delay, retryPolicy.ShortDelay, retryPolicy.Multiplier, retryPolicy.MaxDelay, retryPolicy.UnknownOutcomeTimeout)
+	recordValues(record, derived.FinishedTTL, derived.NodeLossTimeout, placerConfig.Overcommit.Cores, placerConfig.Overcommit.Memory)
+	recordValues(record, attemptLimits.ConnectTimeout, attemptLimits.AnswerGrace, attemptLimits.DrainGrace)
 	recordValues(record, slowStart.MinPace, slowStart.Duration, slowStart.OverloadMultiple, slowStart.OverloadWindow, slowStart.MaxAttempts)
-	recordValues(record, policy.Retry.UnknownOutcomeWait)
-	recordValues(record, policy.Costs.Node, policy.Costs.CrossZone, policy.Costs.Migration, policy.OverQuotaWeight)
-	recordValues(record, limits.MaxQueued, derived.MaxHistoryBytes, derived.MaxObjectBytes, derived.HistoryEntries, derived.MaxPods)
-	recordValues(record, derived.DefaultClass, derived.Seed, derived.BaseRevision, policy.Peers.Self, policy.Peers.Total, attempts.Max)
-	recordValues(record, limits.Disabled, behavior.AcknowledgesOnStart, behavior.ListShowsCapacity, behavior.ReportsUsage, behavior.Preempts)
-	for i, class := range policy.Classes {
+	recordValues(record, placerConfig.Retry.UnknownOutcomeWait)
+	recordValues(record, placerConfig.Costs.Node, placerConfig.Costs.CrossZone, placerConfig.Costs.Migration, placerConfig.OverQuotaWeight)
+	recordValues(record, admissionConfig.MaxQueued, derived.MaxHistoryBytes, derived.MaxObjectBytes, derived.HistoryEntries, derived.MaxPods)
+	recordValues(record, derived.DefaultClass, derived.Seed, derived.BaseRevision, placerConfig.Peers.Self, placerConfig.Peers.Total, attemptLimits.Max)
+	recordValues(record, admissionConfig.Disabled, behavior.AcknowledgesOnStart, behavior.ListShowsCapacity, behavior.ReportsUsage, behavior.Preempts)
+	for i, class := range placerConfig.Classes {
 		recordValues(record, derived.Classes[i], class.DedupWindow, class.LatencyObjective, class.Deadline, class.Weight, class.LateWeight)
 		recordValues(record, class.StartBonus, class.SaturationThreshold, class.DegradationRange)
 		recordValues(record, class.Idempotency, class.DedupDomain, class.Priority, class.NodeType, class.SpreadDomain, class.MaxPerDomain)
 	}
-	for i, nodeType := range policy.NodeTypes {
+	for i, nodeType := range placerConfig.NodeTypes {
 		recordValues(record, derived.NodeTypes[i], nodeType.Cores, nodeType.Memory)
 	}
-	for i, tenant := range policy.Tenants {
+	for i, tenant := range placerConfig.Tenants {
 		recordValues(record, derived.Tenants[i], tenant.Share, tenant.Cores)
 	}
 }
--- a/internal/config/default.go
+++ b/internal/config/default.go
@@ -120,18 +120,18 @@
 
 // defaultAdmission returns the admission settings whose values equal those of admission.DefaultConfig.
 func defaultAdmission() Admission {
-	controller := admission.DefaultConfig()
+	controllerDefaults := admission.DefaultConfig()
 	return Admission{
 		Enabled:          true,
-		MinInFlight:      controller.MinInFlight,
-		MaxInFlight:      controller.MaxInFlight,
-		InitialInFlight:  controller.InitialInFlight,
-		DecreaseFactor:   controller.DecreaseFactor,
-		DecreaseInterval: Duration(controller.DecreaseInterval),
-		LateFraction:     controller.LateFraction,
-		MaxQueued:        controller.MaxQueued,
-		RetryRatio:       controller.RetryRatio,
-		RetryRate:        controller.RetryRate,
-		RetryBurst:       controller.RetryBurst,
+		MinInFlight:      controllerDefaults.MinInFlight,
+		MaxInFlight:      controllerDefaults.MaxInFlight,
+		InitialInFlight:  controllerDefaults.InitialInFlight,
+		DecreaseFactor:   controllerDefaults.DecreaseFactor,
+		DecreaseInterval: Duration(controllerDefaults.DecreaseInterval),
+		LateFraction:     controllerDefaults.LateFraction,
+		MaxQueued:        controllerDefaults.MaxQueued,
+		RetryRatio:       controllerDefaults.RetryRatio,
+		RetryRate:        controllerDefaults.RetryRate,
+		RetryBurst:       controllerDefaults.RetryBurst,
 	}
 }
--- a/internal/config/errors.go
+++ b/internal/config/errors.go
@@ -15,7 +15,8 @@
 
 func (e *FieldError) Error() string { return e.Path + ": " + e.Reason }
 
-// newFieldError returns a *FieldError for the setting at the given path. The reason is formatted like fmt.Sprintf.
+// newFieldError returns a *FieldError for the setting at the given path. It formats the reason like
+// fmt.Sprintf.
 func newFieldError(path, format string, args ...any) error {
 	return &FieldError{Path: path, Reason: fmt.Sprintf(format, args...)}
 }
--- a/internal/config/renames.go
+++ b/internal/config/renames.go
@@ -31,7 +31,7 @@
 // FormerName is an occurrence of the former name of a setting, or of a former value, in a file.
 type FormerName struct {
 	Line, Column int
-	Former       string // path of a renamed setting as written in the file; for a renamed value, current path and former value
+	Former       string // path of a renamed setting as written in the file; for a renamed value, the current path and the former value
 	Current      string // path of a renamed setting, written with current names; for a renamed value, the current value
 }
 
