--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -124,7 +124,9 @@
 
 // Admission is the configuration of the admission controller. The admission controller adapts a limit on the
 // number of placement requests in flight. It queues further placement requests, and sheds placement requests
-// if there are too many. Each admitted retry takes one token from the retry budget.
+// if there are too many. An admitted placement request counts as late if its task is not placed, or if the
+// request completes more than half of its latency objective after its admission. Each admitted retry takes one
+// token from the retry budget.
 type Admission struct {
 	Enabled          bool     `json:"enabled"`          // if false, every placement request is admitted at once
 	MinInFlight      float64  `json:"minInFlight"`      // lower bound of the limit on placement requests in flight
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -43,7 +43,7 @@
 		{"listen address is not a loopback address", `{"listen": "0.0.0.0:80"}`, "f:1:12: listen"},
 		{"index of the scheduler is not below the number of schedulers", `{"peers": 2, "self": 2}`, "f:1:22: self: want 0 to 1"},
 		{"default task class is not in the list of task classes", `{"defaultClass": "x"}`, "f:1:18: defaultClass"},
-		{"required setting of a task class is absent", `{"classes": [{"name": "a", "idempotency": "idempotent", "latencyObjective": 1}], "defaultClass": "a"}`,
+		{"required deadline of a task class is absent", `{"classes": [{"name": "a", "idempotency": "idempotent", "latencyObjective": 1}], "defaultClass": "a"}`,
 			"classes[0].deadline"},
 		{"file is not valid JSON", "{\n  \"name\": }", "f:"},
 		{"sum of all tenant shares is above 1", `{"tenants": [{"name": "a", "share": 0.6}, {"name": "b", "share": 0.6}]}`, "tenants[1].share"},
@@ -74,7 +74,7 @@
 	}{
 		{"invalid value of a string setting", func(s *Settings) { s.LogLevel = "loud" }, FieldError{"logLevel", "want debug, info, warn or error"}},
 		{"duration setting out of range", func(s *Settings) { s.Retry.Delay = 0 }, FieldError{"retry.delay", "0s: want 1s to 1h"}},
-		{"invalid setting of a list element", func(s *Settings) { s.Classes[1].Deadline = 0 }, FieldError{"classes[1].deadline", "want more than 0, 1h at most"}},
+		{"invalid deadline of the second task class in the list", func(s *Settings) { s.Classes[1].Deadline = 0 }, FieldError{"classes[1].deadline", "want more than 0, 1h at most"}},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			s := Default()
--- a/internal/config/validate.go
+++ b/internal/config/validate.go
@@ -288,7 +288,7 @@
 	}
 }
 
-// boundedLimits returns the settings of Limits and the timeouts outside of all sections with their smallest and
+// boundedLimits returns the settings of Limits and the top-level timeouts of Settings with their smallest and
 // largest permitted values.
 func (s *Settings) boundedLimits() []boundedSetting {
 	l := &s.Limits
