--- a/internal/config/default.go
+++ b/internal/config/default.go
@@ -8,7 +8,7 @@
 	"heathshed/internal/kube/engine"
 )
 
-// Default returns the default settings. The settings in a settings file replace them.
+// Default returns the default settings. A setting in a settings file replaces its default value.
 func Default() Settings {
 	return Settings{
 		Name:         "heathshed",
@@ -106,7 +106,7 @@
 	return []Class{web, batch, once, keyed, spread}
 }
 
-// defaultRetry returns the retry settings that correspond to retry.DefaultPolicy.
+// defaultRetry returns the retry settings whose values equal those of retry.DefaultPolicy.
 func defaultRetry() Retry {
 	policy := retry.DefaultPolicy()
 	return Retry{
@@ -118,20 +118,20 @@
 	}
 }
 
-// defaultAdmission returns the settings that correspond to admission.DefaultConfig.
+// defaultAdmission returns the admission settings whose values equal those of admission.DefaultConfig.
 func defaultAdmission() Admission {
-	controller := admission.DefaultConfig()
+	controllerDefaults := admission.DefaultConfig()
 	return Admission{
 		Enabled:          true,
-		MinInFlight:      controller.MinInFlight,
-		MaxInFlight:      controller.MaxInFlight,
-		InitialInFlight:  controller.InitialInFlight,
-		DecreaseFactor:   controller.DecreaseFactor,
-		DecreaseInterval: Duration(controller.DecreaseInterval),
-		LateFraction:     controller.LateFraction,
-		MaxQueued:        controller.MaxQueued,
-		RetryRatio:       controller.RetryRatio,
-		RetryRate:        controller.RetryRate,
-		RetryBurst:       controller.RetryBurst,
+		MinInFlight:      controllerDefaults.MinInFlight,
+		MaxInFlight:      controllerDefaults.MaxInFlight,
+		InitialInFlight:  controllerDefaults.InitialInFlight,
+		DecreaseFactor:   controllerDefaults.DecreaseFactor,
+		DecreaseInterval: Duration(controllerDefaults.DecreaseInterval),
+		LateFraction:     controllerDefaults.LateFraction,
+		MaxQueued:        controllerDefaults.MaxQueued,
+		RetryRatio:       controllerDefaults.RetryRatio,
+		RetryRate:        controllerDefaults.RetryRate,
+		RetryBurst:       controllerDefaults.RetryBurst,
 	}
 }
