--- a/internal/netio/eventloop/conn.go
+++ b/internal/netio/eventloop/conn.go
@@ -40,8 +40,8 @@
 	Data(c *Conn, b []byte) int
 	// Drained is called when all queued output has been written to the socket.
 	Drained(c *Conn)
-	// Closed is called once, and no method is called after it. err is io.EOF if the peer closed the
-	// connection without an error.
+	// Closed is called once, when the connection is closed. No method of the handler is called after
+	// it. err is io.EOF if the peer closed the connection without an error.
 	Closed(c *Conn, err error)
 }
 
@@ -69,11 +69,13 @@
 	stateTimer *Timer
 	state      connState
 
-	// The following conditions are independent of each other, and each can hold in several values of state.
+	// The following fields are independent of each other. Each of them can be true in more than one
+	// state of the connection.
 
 	// countedAsAccepted reports that Loop.acceptedConns includes the connection.
 	countedAsAccepted bool
-	// readPaused reports that reading is paused, by the handler or because the input exceeds MaxInputBytes.
+	// readPaused reports that the loop does not read from the socket, because the handler has paused
+	// reading or the unconsumed input exceeds MaxInputBytes.
 	readPaused bool
 	// peerClosed reports that the peer has shut down its write side.
 	peerClosed bool
@@ -205,15 +207,15 @@
 // shutdownWrite shuts down the write side of a closing connection and waits up to lingerTimeout for the
 // peer to close the connection.
 func (c *Conn) shutdownWrite() {
-	// Shutdown fails if the connection is broken or not established. Its error is ignored, because reading
-	// or dialing reports the same one.
+	// Shutdown fails if the connection is broken or not established. Its error is ignored, because
+	// reading from the connection or establishing it reports the same error.
 	_ = unix.Shutdown(c.fd, unix.SHUT_WR)
 	if c.peerClosed {
 		c.closeWithError(ErrClosedLocally)
 		return
 	}
 	if c.state != stateClosing {
-		return // In stateLingering and in the dialing states, a timer is set already.
+		return // In stateLingering and in the dialing states, stateTimer is set already.
 	}
 	c.setState(stateLingering)
 	c.readPaused = false
--- a/internal/netio/eventloop/conn_state.go
+++ b/internal/netio/eventloop/conn_state.go
@@ -19,7 +19,7 @@
 	// are discarded.
 	stateClosing
 	// stateLingering means that the write side is shut down and the connection waits for the peer to close
-	// its side. Received bytes are discarded.
+	// the connection. Received bytes are discarded.
 	stateLingering
 	// stateClosed means that the socket is closed.
 	stateClosed
--- a/internal/netio/eventloop/eventloop.go
+++ b/internal/netio/eventloop/eventloop.go
@@ -263,8 +263,8 @@
 	}
 }
 
-// runTimers runs the timers that are due. It runs at most as many as were queued at its start, which bounds
-// the work of an iteration even if timers add further timers that are due.
+// runTimers runs the timers that are due. It runs at most as many timers as were queued when it was
+// called, which bounds the work of an iteration even if timers add further timers that are due.
 func (l *Loop) runTimers() {
 	for n := l.timers.Len(); n > 0; n-- {
 		timer := l.timers.Pop(l.now)
@@ -286,8 +286,8 @@
 	}
 }
 
-// runIterationEndFuncs runs the queued functions. Functions that are added while these run are run at the
-// end of the next iteration.
+// runIterationEndFuncs runs the functions that were passed to AtIterationEnd. If one of them passes a
+// further function to AtIterationEnd, that function runs at the end of the next iteration.
 func (l *Loop) runIterationEndFuncs() {
 	for n := len(l.iterationEndFuncs); n > 0; n-- {
 		f := l.iterationEndFuncs[0]
@@ -296,8 +296,8 @@
 	}
 }
 
-// flushAll sends all queued output. It runs once per iteration, and the responses to pipelined requests are
-// then sent with one system call.
+// flushAll sends the queued output of all connections. It runs once per iteration. As a result, the
+// responses to several pipelined requests on a connection are sent with one system call.
 func (l *Loop) flushAll() {
 	for len(l.flushQueue) > 0 {
 		queue := l.flushQueue
--- a/internal/netio/eventloop/eventloop_test.go
+++ b/internal/netio/eventloop/eventloop_test.go
@@ -55,8 +55,8 @@
 	return conn
 }
 
-// sendAll writes b to the connection and shuts down the write side. The caller checks which bytes come
-// back.
+// sendAll writes b to the connection and shuts down the write side of the connection. The caller checks
+// which bytes the server sends back.
 func sendAll(t *testing.T, conn net.Conn, b []byte) {
 	t.Helper()
 	if _, err := conn.Write(b); err != nil {
@@ -106,7 +106,7 @@
 		t.Error("a timer ran although Timer.Stop had been called on it")
 	}
 	stop()
-	loop.Post(func() { t.Error("a function ran that was posted after the loop had stopped") })
+	loop.Post(func() { t.Error("the loop ran a function that was posted after the loop had stopped") })
 }
 
 func TestConnectionLimitAndDialErrors(t *testing.T) {
@@ -139,7 +139,7 @@
 	stop()
 }
 
-// unusedAddress returns an address at which nothing listens.
+// unusedAddress returns a TCP address at which no server listens.
 func unusedAddress(t *testing.T) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -166,8 +166,8 @@
 	return err == nil
 }
 
-// TestConnStates checks that setState makes the transitions that the table in this test lists and panics at
-// all others. No transition leaves the closed state.
+// TestConnStates checks that setState makes the transitions that the table in this test lists, and
+// panics at all other transitions. No transition leaves the closed state.
 func TestConnStates(t *testing.T) {
 	allowed := map[connState][]connState{
 		stateDialing:          {stateDialingThenClose, stateOpen, stateClosed},
@@ -184,7 +184,7 @@
 				want = want || next == to
 			}
 			if got := transitionAllowed(from, to); got != want {
-				t.Errorf("setState allows a transition from state %q to state %q: %t, want %t", from, to, got, want)
+				t.Errorf("setState allows the transition from state %q to state %q: got %t, want %t", from, to, got, want)
 			}
 		}
 	}
--- a/internal/netio/eventloop/listener.go
+++ b/internal/netio/eventloop/listener.go
@@ -10,9 +10,9 @@
 )
 
 const (
-	// listenBacklog limits the connections that the kernel queues until they are accepted.
+	// listenBacklog limits the number of connections that the kernel queues until they are accepted.
 	listenBacklog = 4096
-	// maxAcceptBatch limits the connections that are accepted for one readiness event.
+	// maxAcceptBatch limits the number of connections that are accepted for one readiness event.
 	maxAcceptBatch = 64
 	// socketSendBufferBytes is the value of the socket option SO_SNDBUF for accepted connections. The
 	// kernel doubles this value.
@@ -80,8 +80,8 @@
 	closeFD(ln.fd)
 }
 
-// AcceptPending accepts the connections that are waiting in the kernel. Called before Close, it prevents
-// the kernel from resetting them and discarding the data that clients sent on them.
+// AcceptPending accepts the connections that are waiting in the kernel. If it is called before Close,
+// the kernel does not reset these connections and does not discard the data that clients sent on them.
 func (ln *Listener) AcceptPending() {
 	for n := 0; n < listenBacklog; n += maxAcceptBatch {
 		if ln.Closed() || !ln.accept() {
--- a/internal/netio/http1/characterization_test.go
+++ b/internal/netio/http1/characterization_test.go
@@ -42,8 +42,10 @@
 
 var smallLimits = []http1.Limits{{StartLineBytes: 20, HeadBytes: 80, HeaderFields: 2, BodyBytes: 4, TrailerBytes: 8}, {StartLineBytes: 14, HeadBytes: 60, HeaderFields: 1, BodyBytes: 3, TrailerBytes: 5}, {StartLineBytes: 100, HeadBytes: 100, HeaderFields: 10}, {}}
 
-// decodeVariants decodes a stream in several ways and returns the texts of decode, joined together. It uses
-// pieces of every size, or of 1000 bytes if the stream is long, and then the small limits.
+// decodeVariants calls decode on a stream in several ways and returns the concatenation of the texts
+// that decode returns. Under the given limits, it decodes the stream in pieces of every size, or only
+// in pieces of 1000 bytes if the stream has more than 300 bytes. It then decodes the stream under each
+// of smallLimits, in one piece and in pieces of 7 bytes.
 func decodeVariants(sample messageStream, limits http1.Limits) string {
 	var steps strings.Builder
 	if len(sample.text) <= 300 {
@@ -142,9 +144,11 @@
 	"0\r\nbad\r\n\r\n", "0\r\nA: b\n\r\n", "0\r\n A: b\r\n\r\n", "0\r\nA: \r b\r\n\r\n", "1;" + strings.Repeat("e", 251) + "\r\nx\r\n0\r\n\r\n", "1;" + strings.Repeat("e", 253) + "\r\nx\r\n0\r\n\r\n",
 	"1;" + strings.Repeat("e", 254) + "\r\nx\r\n0\r\n\r\n", "1;" + strings.Repeat("e", 256), "0\r\n" + strings.Repeat("T: 45678\r\n", 409) + "\r\n", "0\r\n" + strings.Repeat("T: 45678\r\n", 410) + "\r\n", "0\r\n" + strings.Repeat("T", 5000)}
 
-// corpus returns the streams that the test decodes. Most are well formed except for one start line, header
-// field or chunked body from the lists above. The others have a start line, header or number of fields at a
-// limit, one below it or one above it.
+// corpus returns the streams that TestCharacterization decodes. Most of them are well formed except for
+// one start line, header field or chunked body, which is an element of requestLines, statusLines,
+// fieldLines or chunkedBodies. A few are incomplete, or have extra empty lines, no header or excess
+// bytes. The others have a start line, a head or a number of header fields that is at a limit, one
+// below it or one above it.
 func corpus() []messageStream {
 	var all []messageStream
 	for _, line := range requestLines {
@@ -174,8 +178,9 @@
 	return all
 }
 
-// decodeMutations decodes the short streams of the corpus, each with up to two bytes replaced at random,
-// and returns the texts of decode, joined together.
+// decodeMutations calls decode on each stream of the corpus that has 1 to 300 bytes, after it has
+// replaced up to two bytes of the stream at random. It returns the concatenation of the texts that
+// decode returns.
 func decodeMutations(seed uint64) string {
 	random := rand.New(rand.NewPCG(seed, 8))
 	const alphabet = "\r\n :;,0179aAfFxZ/\t\x00\x7f\xff"
--- a/internal/netio/http1/decoder.go
+++ b/internal/netio/http1/decoder.go
@@ -19,19 +19,20 @@
 type decoderState uint8
 
 const (
-	// stateHead expects the start line and header.
+	// stateHead means that the decoder expects the start line and header.
 	stateHead decoderState = iota
-	// stateBody expects the rest of a body of known length.
+	// stateBody means that the decoder expects the rest of a body of known length.
 	stateBody
-	// stateChunkLine expects the line before the data of a chunk.
+	// stateChunkLine means that the decoder expects the line before the data of a chunk.
 	stateChunkLine
-	// stateChunkData expects the rest of the data of a chunk.
+	// stateChunkData means that the decoder expects the rest of the data of a chunk.
 	stateChunkData
-	// stateChunkEnd expects the line end after the data of a chunk.
+	// stateChunkEnd means that the decoder expects the line end after the data of a chunk.
 	stateChunkEnd
-	// stateTrailer expects the trailer section, which follows the last chunk.
+	// stateTrailer means that the decoder expects the trailer section, which follows the last chunk.
 	stateTrailer
-	// stateUntilClose expects the rest of a body that ends when the connection is closed.
+	// stateUntilClose means that the decoder expects the rest of a body that ends when the connection
+	// is closed.
 	stateUntilClose
 )
 
--- a/internal/netio/http1/head.go
+++ b/internal/netio/http1/head.go
@@ -26,7 +26,7 @@
 		skipped = 2
 		d.searchedBytes = max(0, d.searchedBytes-2)
 	}
-	// The terminator may begin within the last bytes that an earlier call has searched.
+	// headTerminator may begin within the last bytes that an earlier call has searched.
 	searchStart := max(0, d.searchedBytes-len(headTerminator)+1)
 	terminator := bytes.Index(in[searchStart:], []byte(headTerminator))
 	if terminator < 0 {
--- a/internal/netio/http1/http1_test.go
+++ b/internal/netio/http1/http1_test.go
@@ -61,8 +61,8 @@
 	{"one empty line before the request line is ignored", "\r\nGET / HTTP/1.1\r\nHost: a\r\n\r\n", 0, ""},
 	{"body with Content-Length", "POST /x HTTP/1.1\r\nHost: a\r\nContent-Length: 3\r\n\r\nabc", 0, "abc"},
 	{"chunked body with an extension and a trailer", "POST /x HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n2;x=y\r\nde\r\n0\r\nT: v\r\n\r\n", 0, "abcde"},
-	{"HTTP/1.0 needs no Host field", "GET / HTTP/1.0\r\n\r\n", 0, ""},
-	{"HTTP/1.1 without a Host field", "GET / HTTP/1.1\r\n\r\n", 400, ""},
+	{"HTTP/1.0 request without a Host field", "GET / HTTP/1.0\r\n\r\n", 0, ""},
+	{"HTTP/1.1 request without a Host field", "GET / HTTP/1.1\r\n\r\n", 400, ""},
 	{"request with two Host fields", "GET / HTTP/1.1\r\nHost: a\r\nHost: b\r\n\r\n", 400, ""},
 	{"two equal Content-Length fields", "POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 3\r\nContent-Length: 3\r\n\r\nabc", 400, ""},
 	{"Content-Length with a list of values", "POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 3, 3\r\n\r\nabc", 400, ""},
@@ -71,27 +71,27 @@
 	{"Content-Length and Transfer-Encoding together", "POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", 400, ""},
 	{"chunked body in an HTTP/1.0 request", "POST / HTTP/1.0\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", 400, ""},
 	{"transfer coding other than chunked", "POST / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: gzip, chunked\r\n\r\n", 501, ""},
-	{"folded header line", "GET / HTTP/1.1\r\nHost: a\r\nX: a\r\n b\r\n\r\n", 400, ""},
+	{"header field that is folded over two lines", "GET / HTTP/1.1\r\nHost: a\r\nX: a\r\n b\r\n\r\n", 400, ""},
 	{"carriage return without a line feed in a header field", "GET / HTTP/1.1\r\nHost: a\rb\r\n\r\n", 400, ""},
-	{"all lines end with a line feed only", "GET / HTTP/1.1\nHost: a\n\n", 400, ""},
-	{"space between field name and colon", "GET / HTTP/1.1\r\nHost : a\r\n\r\n", 400, ""},
+	{"all lines end with a line feed without a carriage return", "GET / HTTP/1.1\nHost: a\n\n", 400, ""},
+	{"space between the field name and the colon", "GET / HTTP/1.1\r\nHost : a\r\n\r\n", 400, ""},
 	{"header field without a name", "GET / HTTP/1.1\r\nHost: a\r\n: x\r\n\r\n", 400, ""},
 	{"control character in a field value", "GET / HTTP/1.1\r\nHost: a\r\nX: a\x01b\r\n\r\n", 400, ""},
 	{"chunk size with a 0x prefix", "POST / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n0x3\r\nabc\r\n0\r\n\r\n", 400, ""},
 	{"chunk line without a chunk size", "POST / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n\r\nabc\r\n", 400, ""},
 	{"chunk data longer than the chunk size", "POST / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabcd\r\n0\r\n\r\n", 400, ""},
 	{"chunk size with too many digits", "POST / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\nfffffffffffffffff\r\n", 400, ""},
-	{"chunk line that ends with a line feed only", "POST / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n3\nabc\r\n0\r\n\r\n", 400, ""},
+	{"chunk line that ends with a line feed without a carriage return", "POST / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n3\nabc\r\n0\r\n\r\n", 400, ""},
 	{"method that is not a token", "G(T / HTTP/1.1\r\nHost: a\r\n\r\n", 400, ""},
 	{"two spaces after the method", "GET  / HTTP/1.1\r\nHost: a\r\n\r\n", 400, ""},
 	{"unsupported HTTP version", "GET / HTTP/2.0\r\nHost: a\r\n\r\n", 505, ""},
 	{"unknown expectation in the Expect field", "GET / HTTP/1.1\r\nHost: a\r\nExpect: tea\r\n\r\n", 417, ""},
-	{"Content-Length over the body limit", "POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 1025\r\n\r\n", 413, ""},
-	{"chunk size over the body limit", "POST / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n401\r\n", 413, ""},
-	{"request line over its limit", "GET /" + strings.Repeat("a", 300) + " HTTP/1.1\r\nHost: a\r\n\r\n", 414, ""},
-	{"header over its limit", "GET / HTTP/1.1\r\nHost: a\r\nX: " + strings.Repeat("a", 600) + "\r\n\r\n", 431, ""},
+	{"Content-Length that exceeds the body size limit", "POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 1025\r\n\r\n", 413, ""},
+	{"chunk size that exceeds the body size limit", "POST / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n401\r\n", 413, ""},
+	{"request line that exceeds its size limit", "GET /" + strings.Repeat("a", 300) + " HTTP/1.1\r\nHost: a\r\n\r\n", 414, ""},
+	{"header that exceeds the size limit of the head", "GET / HTTP/1.1\r\nHost: a\r\nX: " + strings.Repeat("a", 600) + "\r\n\r\n", 431, ""},
 	{"more header fields than the limit allows", "GET / HTTP/1.1\r\nHost: a\r\n" + strings.Repeat("A: b\r\n", 10) + "\r\n", 431, ""},
-	{"trailer section over its limit", "POST / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n0\r\nX: " + strings.Repeat("a", 200) + "\r\n\r\n", 431, ""},
+	{"trailer section that exceeds its size limit", "POST / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n0\r\nX: " + strings.Repeat("a", 200) + "\r\n\r\n", 431, ""},
 }
 
 var smallLimits = Limits{StartLineBytes: 200, HeadBytes: 500, HeaderFields: 10, BodyBytes: 1024, TrailerBytes: 100}
@@ -122,12 +122,12 @@
 		noBody, wantReject bool
 	}{
 		{"body with Content-Length", "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nab", "ab", false, false},
-		{"body that ends with the connection", "HTTP/1.1 200 OK\r\n\r\nabc", "abc", false, false},
-		{"status 204 has no body", "HTTP/1.1 204 No Content\r\n\r\n", "", false, false},
-		{"response to HEAD has no body", "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n", "", true, false},
+		{"body that ends when the connection is closed", "HTTP/1.1 200 OK\r\n\r\nabc", "abc", false, false},
+		{"response with status 204 has no body", "HTTP/1.1 204 No Content\r\n\r\n", "", false, false},
+		{"response to a HEAD request has no body", "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n", "", true, false},
 		{"status line without a reason phrase", "HTTP/1.1 404\r\nContent-Length: 0\r\n\r\n", "", false, false},
-		{"stream ends before Content-Length bytes", "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nab", "", false, true},
-		{"stream ends within a chunk", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nab", "", false, true},
+		{"stream ends before the body has the length in Content-Length", "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nab", "", false, true},
+		{"stream ends within the data of a chunk", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nab", "", false, true},
 		{"status code that is not a number", "HTTP/1.1 2x0 OK\r\n\r\n", "", false, true},
 	} {
 		t.Run(test.name, func(t *testing.T) {
@@ -153,11 +153,11 @@
 	}
 }
 
-// mayRejectUnlikeNetHTTP reports whether this decoder may reject input that net/http accepts. Each
-// difference is intended. net/http accepts line feeds without carriage returns, two Content-Length fields
-// with the same value, and request targets that are not paths. It also ignores whitespace before the colon
-// of every header field but the first, and its limits differ.
-func mayRejectUnlikeNetHTTP(in []byte) bool {
+// mayBeRejectedByThisDecoderOnly reports whether this decoder may reject input that net/http accepts.
+// Each difference between the two is intended. net/http accepts line feeds without carriage returns,
+// two Content-Length fields with the same value, and request targets that are not paths. It also
+// ignores whitespace before the colon of every header field but the first, and its limits differ.
+func mayBeRejectedByThisDecoderOnly(in []byte) bool {
 	text := string(in)
 	for i := range len(text) {
 		if text[i] == '\n' && (i == 0 || text[i-1] != '\r') {
@@ -173,10 +173,10 @@
 		strings.Contains(lower, "http/1.0") || strings.Contains(lower, "http/1.2") || strings.Contains(lower, "connect ") || strings.Contains(lower, "host:") && strings.Count(lower, "host:") > 1
 }
 
-// FuzzRequest checks that the decoder never panics, and that its result does not depend on how the input is
-// split. It also compares the decoder with net/http. This decoder must reject each request that net/http
-// rejects, unless mayAcceptUnlikeNetHTTP covers the request. If both accept a request, they must decode the
-// same method and body.
+// FuzzRequest checks that the decoder never panics, and that its result does not depend on how the
+// input is split. It also compares the decoder with net/http. This decoder must reject each request
+// that net/http rejects, unless mayBeRejectedByNetHTTPOnly covers the request. If both accept a
+// request, they must decode the same method and body.
 func FuzzRequest(f *testing.F) {
 	for _, test := range requestCases {
 		f.Add([]byte(test.in))
@@ -202,7 +202,7 @@
 			body, err = io.ReadAll(req.Body)
 		}
 		if err != nil {
-			if !mayAcceptUnlikeNetHTTP(in) {
+			if !mayBeRejectedByNetHTTPOnly(in) {
 				t.Fatalf("this decoder accepts the request, but net/http rejects it with error %v", err)
 			}
 			return
@@ -213,11 +213,11 @@
 	})
 }
 
-// mayAcceptUnlikeNetHTTP reports whether this decoder may accept a request that net/http rejects. This
-// concerns requests with a malformed escape in the target, with a Host field that is not a valid host, with
-// a minor version above 1, or with trailer fields that net/http forbids. A malformed escape does no harm,
-// because the API server itself responds to it with status 400.
-func mayAcceptUnlikeNetHTTP(in []byte) bool {
+// mayBeRejectedByNetHTTPOnly reports whether this decoder may accept a request that net/http rejects.
+// This concerns requests with a malformed escape in the target, with a Host field that is not a valid
+// host, with a minor version above 1, or with trailer fields that net/http forbids. A malformed escape
+// does no harm, because the API server itself responds to it with status 400.
+func mayBeRejectedByNetHTTPOnly(in []byte) bool {
 	line, rest, _ := strings.Cut(string(in), "\r\n")
 	for line == "" && rest != "" {
 		line, rest, _ = strings.Cut(rest, "\r\n")
@@ -244,12 +244,12 @@
 // acceptedByNetHTTP holds the names of those requestCases that this decoder rejects although net/http
 // accepts them. RFC 9112 requires each rejection. The sections are 3.2, 5.2, 5.1 and 2.3, in the order of
 // the names.
-var acceptedByNetHTTP = map[string]bool{"HTTP/1.1 without a Host field": true, "folded header line": true, "space between field name and colon": true, "unsupported HTTP version": true}
+var acceptedByNetHTTP = map[string]bool{"HTTP/1.1 request without a Host field": true, "header field that is folded over two lines": true, "space between the field name and the colon": true, "unsupported HTTP version": true}
 
 // TestAgainstNetHTTP checks that net/http accepts exactly those requestCases that this decoder accepts.
 // There are exceptions. net/http may reject a request that begins with an empty line. It may accept a
-// request that exceeds a limit, has an unknown expectation, or is covered by mayRejectUnlikeNetHTTP or
-// acceptedByNetHTTP.
+// request that exceeds a limit, has an unknown expectation, or is covered by
+// mayBeRejectedByThisDecoderOnly or acceptedByNetHTTP.
 func TestAgainstNetHTTP(t *testing.T) {
 	for _, test := range requestCases {
 		req, err := http.ReadRequest(bufio.NewReader(strings.NewReader(test.in)))
@@ -260,8 +260,8 @@
 		switch {
 		case test.status == 0 && err != nil && !strings.HasPrefix(test.in, "\r\n"):
 			t.Errorf("case %q: this decoder accepts the request, but net/http rejects it with error %v", test.name, err)
-		case test.status != 0 && err == nil && !onlyRejectedHere && !mayRejectUnlikeNetHTTP([]byte(test.in)) && !acceptedByNetHTTP[test.name]:
-			t.Errorf("case %q: this decoder rejects the request, but net/http accepts it, and neither mayRejectUnlikeNetHTTP nor acceptedByNetHTTP covers the case", test.name)
+		case test.status != 0 && err == nil && !onlyRejectedHere && !mayBeRejectedByThisDecoderOnly([]byte(test.in)) && !acceptedByNetHTTP[test.name]:
+			t.Errorf("case %q: this decoder rejects the request, but net/http accepts it, and neither mayBeRejectedByThisDecoderOnly nor acceptedByNetHTTP covers the case", test.name)
 		}
 	}
 }
--- a/internal/netio/httpc/call.go
+++ b/internal/netio/httpc/call.go
@@ -25,7 +25,7 @@
 	AvoidUnknownOutcome bool
 
 	client *Client
-	// request holds the encoded request, which is sent as it is.
+	// request holds the encoded bytes of the request, which are sent unchanged.
 	request []byte
 	// conn is the connection on which the request is sent. It is nil while the call waits for a connection.
 	conn         *conn
--- a/internal/netio/httpc/client.go
+++ b/internal/netio/httpc/client.go
@@ -140,8 +140,8 @@
 	if decision.Action == connpool.UseIdle || decision.Action == connpool.ReplaceIdle {
 		chosen = c.idleConns[decision.Index]
 	}
-	// The stale connections are collected first, because closing a connection changes idleConns, to which
-	// the indices refer.
+	// All stale connections are collected before the first of them is closed. decision.Stale holds
+	// indices into idleConns, and closing a connection changes idleConns.
 	staleConns := make([]*conn, 0, len(decision.Stale))
 	for _, i := range decision.Stale {
 		staleConns = append(staleConns, c.idleConns[i])
--- a/internal/netio/httpc/httpc_test.go
+++ b/internal/netio/httpc/httpc_test.go
@@ -25,7 +25,7 @@
 	err    error
 }
 
-// unusedAddress returns an address at which nothing listens.
+// unusedAddress returns a TCP address at which no server listens.
 func unusedAddress(t *testing.T) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -77,8 +77,9 @@
 	}
 }
 
-// doAndWait makes a call on the loop and returns the result that OnDone receives. If prepare is not nil, it
-// is called on the loop directly after Client.Do.
+// doAndWait sends a request with Client.Do on the goroutine of the loop, waits until the call has
+// ended, and returns the response or error that OnDone received. If prepare is not nil, it is called on
+// the same goroutine directly after Client.Do.
 func doAndWait(t *testing.T, loop *eventloop.Loop, addr, method string, timeout time.Duration, prepare func(*Call)) callResult {
 	t.Helper()
 	results := make(chan callResult, 2)
@@ -114,8 +115,8 @@
 	}{
 		{name: "body with Content-Length", method: "GET", response: "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nab", keepOpen: true, status: 200, body: "ab"},
 		{name: "chunked body", method: "GET", response: "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n0\r\n\r\n", keepOpen: true, status: 200, body: "ab"},
-		{name: "body that ends with the connection", method: "GET", response: "HTTP/1.1 200 OK\r\n\r\nab", status: 200, body: "ab"},
-		{name: "response to HEAD has no body", method: "HEAD", response: "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n", keepOpen: true, status: 200},
+		{name: "body that ends when the connection is closed", method: "GET", response: "HTTP/1.1 200 OK\r\n\r\nab", status: 200, body: "ab"},
+		{name: "response to a HEAD request has no body", method: "HEAD", response: "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n", keepOpen: true, status: 200},
 		{name: "interim response is followed by the final response", method: "POST", response: "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 201 Created\r\nContent-Length: 1\r\n\r\nx", keepOpen: true, status: 201, body: "x"},
 		{name: "response with an error status", method: "GET", response: "HTTP/1.1 503 x\r\nContent-Length: 4\r\n\r\nbusy", keepOpen: true, status: 503, body: "busy"},
 		{name: "server closes the connection within the body", method: "GET", response: "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nab", wantErr: ": connection broke: EOF"},
@@ -177,17 +178,17 @@
 		want      error
 		neverSent bool
 	}{
-		{name: "nothing listens at the address", addr: unusedAddr, timeout: 5 * time.Second, neverSent: true},
-		{name: "host name instead of a literal address", addr: "host:1", timeout: 5 * time.Second, neverSent: true},
+		{name: "no server listens at the address", addr: unusedAddr, timeout: 5 * time.Second, neverSent: true},
+		{name: "host name instead of a literal IP address", addr: "host:1", timeout: 5 * time.Second, neverSent: true},
 		{name: "call is cancelled before its connection is established", addr: silentServer, prepare: (*Call).Cancel, want: ErrCancelled, neverSent: true},
 		{name: "call is cancelled after its request was sent", addr: silentServer, prepare: cancelAfter(200 * time.Millisecond), want: ErrCancelled},
-		{name: "no response within the timeout", addr: silentServer, timeout: 200 * time.Millisecond, want: ErrTimeout},
+		{name: "server sends no response within the timeout of the call", addr: silentServer, timeout: 200 * time.Millisecond, want: ErrTimeout},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			got := doAndWait(t, loop, test.addr, "GET", test.timeout, test.prepare)
 			var connectError *ConnectError
 			if neverSent := errors.As(got.err, &connectError); got.err == nil || neverSent != test.neverSent {
-				t.Errorf("the call ended with error %v; is it a *ConnectError, which means that the request was never sent: got %t, want %t", got.err, neverSent, test.neverSent)
+				t.Errorf("the call ended with error %v; got a *ConnectError: %t, want a *ConnectError: %t (a *ConnectError means that the request was never sent)", got.err, neverSent, test.neverSent)
 			}
 			if test.want != nil && !errors.Is(got.err, test.want) {
 				t.Errorf("the call ended with error %v, want an error that wraps %v", got.err, test.want)
--- a/internal/netio/httpd/bench_test.go
+++ b/internal/netio/httpd/bench_test.go
@@ -61,8 +61,9 @@
 	return listener.Addr().String(), stop
 }
 
-// BenchmarkRequests compares the request rates of both servers. The same client sends requests over 16
-// connections to each server. Each connection sends either one request at a time or 16 pipelined requests.
+// BenchmarkRequests compares the request rates of a server of this package and a server of net/http.
+// The same client sends requests over 16 connections to each server. Each connection sends either one
+// request at a time or 16 pipelined requests.
 func BenchmarkRequests(b *testing.B) {
 	for _, depth := range []int{1, 16} {
 		for name, start := range map[string]func(testing.TB) (string, func()){"heathshed": startHeathshed, "net-http": startNetHTTP} {
@@ -125,8 +126,8 @@
 	}
 }
 
-// BenchmarkIdleConnections measures how much memory each server holds for a connection that has been idle
-// since its first request.
+// BenchmarkIdleConnections measures how much memory a server of this package and a server of net/http
+// each hold for a connection that has been idle since its first request.
 func BenchmarkIdleConnections(b *testing.B) {
 	for name, start := range map[string]func(testing.TB) (string, func()){"heathshed": startHeathshed, "net-http": startNetHTTP} {
 		b.Run(name, func(b *testing.B) {
--- a/internal/netio/httpd/conn.go
+++ b/internal/netio/httpd/conn.go
@@ -37,9 +37,9 @@
 
 	// requestStartedAt is the time at which the first byte of the current request was received.
 	requestStartedAt clock.Instant
-	// lastProgressAt is the last time at which the queued output had been sent completely, a request had
-	// been received completely, or a response had been completed. Until the first such event, it is the
-	// time at which the connection was opened.
+	// lastProgressAt is the time at which the connection last made progress: all queued output was
+	// sent, a request was received completely, or a response was completed. Before the first progress,
+	// it is the time at which the connection was opened.
 	lastProgressAt     clock.Instant
 	closeAfterResponse bool
 }
@@ -212,8 +212,9 @@
 	s.evictOverQuota()
 }
 
-// armTimer sets deadlineTimer to the time at which the currently applicable time limit expires. Whenever
-// the timer fires, it is set again.
+// armTimer sets deadlineTimer to fire when the time limit that currently applies expires, but not
+// before minTimerDelay has passed. When the timer fires, it calls checkDeadline and then, unless
+// the connection is closed, armTimer.
 func (c *conn) armTimer() {
 	loop := c.server.loop
 	c.deadlineTimer = loop.At(max(c.deadline(), loop.Now().Add(minTimerDelay)), func() {
@@ -224,8 +225,9 @@
 	})
 }
 
-// shortenTimer sets deadlineTimer again if it is due more than maxDelay from now. It is called when a
-// shorter time limit begins to apply.
+// shortenTimer is called when a shorter time limit begins to apply. If deadlineTimer is due more than
+// maxDelay from now, shortenTimer stops it and calls armTimer, which sets it to the end of the new time
+// limit.
 func (c *conn) shortenTimer(maxDelay time.Duration) {
 	if c.deadlineTimer.Due() > c.server.loop.Now().Add(maxDelay) {
 		c.deadlineTimer.Stop()
--- a/internal/netio/httpd/conn_state.go
+++ b/internal/netio/httpd/conn_state.go
@@ -56,8 +56,8 @@
 
 // setState changes the state of the connection. No other code may assign it. A transition that
 // connTransitions does not allow is a bug in this package. Server.IllegalTransitions counts such a
-// transition, and the state stays as it is. A panic would end the process and close all other connections
-// too.
+// transition, and the state stays as it is. setState does not panic, because a panic would end the
+// process and close all other connections too.
 func (c *conn) setState(next connState) {
 	if connTransitions[c.state]&(1<<next) == 0 {
 		c.server.IllegalTransitions++
--- a/internal/netio/httpd/exchange.go
+++ b/internal/netio/httpd/exchange.go
@@ -24,7 +24,7 @@
 }
 
 // Reset closes the connection without a response. An emulated node uses it to behave like an unreachable
-// one.
+// node.
 func (e *Exchange) Reset() {
 	if !e.Finished() {
 		e.conn.transport.Close()
--- a/internal/netio/httpd/httpd_test.go
+++ b/internal/netio/httpd/httpd_test.go
@@ -20,10 +20,10 @@
 	"heathshed/internal/testsupport/looptest"
 )
 
-// startServer runs a server that responds with the method, path and body of the request. Three paths are
-// handled in another way. The handler responds to /later after it has returned, and to /stream with a
-// stream of 1000 lines. It never responds to /never. For that path, neverEvents receives "handled /never"
-// when the handler is called and "/never" when OnDisconnect is called.
+// startServer runs a server that responds with the method, path and body of the request. Requests for
+// three paths are handled differently. The handler responds to /later after it has returned, and to
+// /stream with a stream of 1000 lines. It never responds to /never. For that path, neverEvents receives
+// "handled /never" when the handler is called and "/never" when OnDisconnect is called.
 func startServer(t *testing.T, options Options) (loop *eventloop.Loop, server *Server, neverEvents chan string) {
 	t.Helper()
 	loop = looptest.New(t)
@@ -111,11 +111,11 @@
 		{name: "POST request with Content-Length", method: "POST", path: "/a", body: "xyz", wantStatus: 200, wantBody: "POST /a xyz"},
 		{name: "POST request that expects a 100 Continue response", method: "POST", path: "/a", body: "xyz", expect: true, wantStatus: 200, wantBody: "POST /a xyz"},
 		{name: "POST request with a chunked body", method: "POST", path: "/a", body: "xyz", chunked: true, wantStatus: 200, wantBody: "POST /a xyz"},
-		{name: "response to HEAD has no body", method: "HEAD", path: "/a", wantStatus: 200},
+		{name: "response to a HEAD request has no body", method: "HEAD", path: "/a", wantStatus: 200},
 		{name: "handler responds after it has returned", method: "GET", path: "/later", wantStatus: 200, wantBody: "later"},
-		{name: "request body with exactly the maximum size", method: "POST", path: "/a", body: largestBody, wantStatus: 200, wantBody: "POST /a " + largestBody},
-		{name: "request body over the limit with Content-Length", method: "POST", path: "/a", body: largestBody + "x", wantStatus: 413},
-		{name: "chunked request body over the limit", method: "POST", path: "/a", body: largestBody + "x", chunked: true, wantStatus: 413},
+		{name: "request body of exactly the maximum size", method: "POST", path: "/a", body: largestBody, wantStatus: 200, wantBody: "POST /a " + largestBody},
+		{name: "request body with Content-Length that is larger than the maximum size", method: "POST", path: "/a", body: largestBody + "x", wantStatus: 413},
+		{name: "chunked request body that is larger than the maximum size", method: "POST", path: "/a", body: largestBody + "x", chunked: true, wantStatus: 413},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			var body io.Reader
@@ -138,7 +138,7 @@
 			}
 			respBody := readBody(t, resp)
 			if resp.StatusCode != test.wantStatus || test.wantBody != "" && string(respBody) != test.wantBody {
-				t.Errorf("response to a request with a body of %d bytes: got status %d and body %.200q, want wantStatus and wantBody of the test case", len(test.body), resp.StatusCode, respBody)
+				t.Errorf("response to a request with a body of %d bytes: got status %d and body %.200q, want the status and body of the test case", len(test.body), resp.StatusCode, respBody)
 			}
 		})
 	}
@@ -195,9 +195,9 @@
 	}
 }
 
-// TestNoDescriptorsLeft checks that the server closes new connections when the process has no descriptor
-// left, and still serves the open ones. If such a connection were neither accepted nor closed, it would
-// keep the listener readable, and the loop would iterate without pause.
+// TestNoDescriptorsLeft checks that the server closes new connections when the process has no
+// descriptor left, and still serves the open ones. If a new connection were neither accepted nor
+// closed, it would keep the listener readable, and the loop would iterate without pause.
 func TestNoDescriptorsLeft(t *testing.T) {
 	loop, server, _ := startServer(t, DefaultOptions())
 	openedBefore := openConn(t, server, "")
--- a/internal/netio/httpd/server.go
+++ b/internal/netio/httpd/server.go
@@ -19,12 +19,12 @@
 	// pullRetryDelay is the delay before the server pulls data from the response streams again after the
 	// memory quota had no room for it.
 	pullRetryDelay = 10 * time.Millisecond
-	// drainPollInterval is the time between checks whether all connections are closed.
+	// drainPollInterval is the interval at which Drain checks whether all connections are closed.
 	drainPollInterval = 20 * time.Millisecond
 )
 
-// Handler handles a request. It calls Exchange.Respond before it returns or later. The request body is
-// valid until that call.
+// Handler handles a request. It calls Exchange.Respond before or after it returns. The request body is
+// valid until the call of Exchange.Respond.
 type Handler func(e *Exchange)
 
 // Options limits the time and memory that clients can use.
--- a/internal/netio/httpd/stream.go
+++ b/internal/netio/httpd/stream.go
@@ -42,8 +42,8 @@
 	}
 }
 
-// pullStreamOnce pulls data once, about maxBytes at most, queues it as output, and reports whether the
-// stream may have more data.
+// pullStreamOnce pulls data from the response stream once, about maxBytes at most. It queues the data
+// as output and reports whether the stream may have more data.
 func (c *conn) pullStreamOnce(maxBytes int) bool {
 	e := &c.exchange
 	out := c.transport.OutputBuffer()
@@ -56,7 +56,8 @@
 	size := len(out) - dataStart
 	switch {
 	case size == 0:
-		// The stream has no data. The placeholder is removed, and no flush is queued for the connection.
+		// The stream appended no data. The placeholder for the chunk size, if there is one, is removed
+		// from the output, and no flush is queued for the connection.
 		c.transport.DiscardOutput(out[:queuedBytes])
 	case e.usesChunks():
 		putChunkSize(out[queuedBytes:], size)
@@ -71,7 +72,7 @@
 	return false
 }
 
-// putChunkSize overwrites the placeholder at the start of b with the chunk size.
+// putChunkSize writes the chunk size at the start of b, over the digits of chunkLinePlaceholder.
 func putChunkSize(b []byte, size int) {
 	const digits = "0123456789abcdef"
 	for i := chunkSizeDigits - 1; i >= 0; i-- {
--- a/internal/netio/sse/characterization_test.go
+++ b/internal/netio/sse/characterization_test.go
@@ -82,8 +82,8 @@
 	return decode(0, pieces...) + decode(50, pieces...) + decode(200, strings.Join(pieces, ""))
 }
 
-// decodeAtDefaultLimit decodes an event whose size is exactly the default limit and an event that is one
-// byte larger.
+// decodeAtDefaultLimit decodes an event whose size is exactly the default limit and an event that is
+// one byte larger. It returns one text that describes both results.
 func decodeAtDefaultLimit() string {
 	const size = 4 << 20
 	field, end := "data:", "\n\ndata: next\n\n"
--- a/internal/netio/sse/sse.go
+++ b/internal/netio/sse/sse.go
@@ -22,8 +22,8 @@
 	defaultEventType = "message"
 	commentPrefix    = ':'
 	fieldSeparator   = ":"
-	// fieldValuePrefix is the optional space after the colon. It is removed once from the front of a field
-	// value.
+	// fieldValuePrefix is the optional space after the colon of a field. It is removed once from the
+	// front of a field value.
 	fieldValuePrefix = " "
 )
 
--- a/internal/netio/sse/sse_test.go
+++ b/internal/netio/sse/sse_test.go
@@ -30,8 +30,8 @@
 		{"incomplete byte order mark is a part of the first field name", "\xef\xbbdata: a\n\ndata: b\n\n", []Event{{"", "message", "b"}}},
 		{"comment lines are ignored", ": hello\n\n:\ndata: a\n: x\n\n", []Event{{"", "message", "a"}}},
 		{"event type applies to one event only", "event: snapshot\ndata: a\n\ndata: b\n\n", []Event{{"", "snapshot", "a"}, {"", "message", "b"}}},
-		{"id applies to later events until another id field follows", "id: 7\ndata: a\n\ndata: b\n\nid\ndata: c\n\n", []Event{{"7", "message", "a"}, {"7", "message", "b"}, {"", "message", "c"}}},
-		{"id that contains a NUL byte is ignored", "id: 7\ndata: a\n\nid: 8\x00\ndata: b\n\n", []Event{{"7", "message", "a"}, {"7", "message", "b"}}},
+		{"id field applies to later events until another id field follows", "id: 7\ndata: a\n\ndata: b\n\nid\ndata: c\n\n", []Event{{"7", "message", "a"}, {"7", "message", "b"}, {"", "message", "c"}}},
+		{"id field that contains a NUL byte is ignored", "id: 7\ndata: a\n\nid: 8\x00\ndata: b\n\n", []Event{{"7", "message", "a"}, {"7", "message", "b"}}},
 		{"only one leading space of a field value is removed", "data:  a\n\n", []Event{{"", "message", " a"}}},
 		{"event without a data field is not emitted", "id: 9\nevent: x\n\n", nil},
 		{"unknown fields are ignored", "retry: 10\nfoo: bar\ndata: a\n\n", []Event{{"", "message", "a"}}},
@@ -55,8 +55,8 @@
 		t.Fatalf("decoding 1350 bytes of comments and one event with a limit of 100 bytes: got error %v and %d events; want no error and 1 event", err, len(got))
 	}
 	for name, stream := range map[string]string{
-		"one long data line":    "data: " + strings.Repeat("x", 200),
-		"many short data lines": strings.Repeat("data: abc\n", 20),
+		"one data line that exceeds the size limit":            "data: " + strings.Repeat("x", 200),
+		"short data lines that together exceed the size limit": strings.Repeat("data: abc\n", 20),
 	} {
 		t.Run(name, func(t *testing.T) {
 			decoder := &Decoder{MaxEventBytes: 100}
