--- a/internal/netio/eventloop/conn.go
+++ b/internal/netio/eventloop/conn.go
@@ -79,7 +79,7 @@
 	readPaused bool
 	// peerClosed reports that the peer has shut down its write side.
 	peerClosed bool
-	// deliveringInput reports that Handler.Data is running.
+	// deliveringInput reports that Handler.Data is running for the connection.
 	deliveringInput bool
 	// writeBlocked reports that the socket send buffer is full.
 	writeBlocked bool
--- a/internal/netio/http1/chunked.go
+++ b/internal/netio/http1/chunked.go
@@ -40,8 +40,8 @@
 	return d.decodeAfterLine(in, lineEnd+1)
 }
 
-// decodeAfterLine continues to decode after a line of n bytes. The number of consumed bytes that it returns
-// includes the line.
+// decodeAfterLine decodes the part of the message that follows the first n bytes of in, which hold a line
+// that has been decoded. The number of consumed bytes that it returns includes the line.
 func (d *Decoder) decodeAfterLine(in []byte, n int) (int, Event, *Error) {
 	consumed, event, err := d.decodeNext(in[n:])
 	return n + consumed, event, err
--- a/internal/netio/http1/decoder.go
+++ b/internal/netio/http1/decoder.go
@@ -141,8 +141,8 @@
 	return len(in), BodyData, nil
 }
 
-// addBodyBytes adds to the size of a body whose length the header does not give, and returns an error if
-// the size exceeds the limit.
+// addBodyBytes adds the given number of bytes to the counted size of a body whose length the header does not
+// give, and returns an error if the size then exceeds the limit for bodies.
 func (d *Decoder) addBodyBytes(bytes int64) *Error {
 	d.sectionBytes += bytes
 	if d.Limits.BodyBytes > 0 && d.sectionBytes > int64(d.Limits.BodyBytes) {
@@ -151,7 +151,7 @@
 	return nil
 }
 
-// endMessage completes a message. n is the number of bytes that the current call has consumed.
+// endMessage completes a message. n is the number of bytes that the current call of Next has consumed.
 func (d *Decoder) endMessage(n int) (int, Event, *Error) {
 	d.startMessage()
 	return n, MessageComplete, nil
--- a/internal/netio/httpc/client.go
+++ b/internal/netio/httpc/client.go
@@ -179,8 +179,9 @@
 	connection.transport = transport
 }
 
-// startNextWaitingCall starts the first waiting call on freeConn or, if freeConn is nil, passes the call to
-// assignConn. If no call waits, freeConn becomes idle.
+// startNextWaitingCall removes the first call that has not ended from waitingCalls. It sends the request of
+// the call on freeConn or, if freeConn is nil, passes the call to assignConn. If there is no such call and
+// freeConn is not nil, freeConn becomes idle.
 func (c *Client) startNextWaitingCall(freeConn *conn) {
 	for len(c.waitingCalls) > 0 {
 		call := c.waitingCalls[0]
--- a/internal/netio/httpd/httpd_test.go
+++ b/internal/netio/httpd/httpd_test.go
@@ -196,8 +196,9 @@
 }
 
 // TestNoDescriptorsLeft checks that the server closes new connections when the process has no
-// descriptor left, and still serves the open ones. If a new connection were neither accepted nor
-// closed, it would keep the listener readable, and the loop would iterate without pause.
+// descriptor left, and still serves the connections that are open already. If a new connection were
+// neither accepted nor closed, it would keep the listener readable, and the loop would iterate without
+// pause.
 func TestNoDescriptorsLeft(t *testing.T) {
 	loop, server, _ := startServer(t, DefaultOptions())
 	openedBefore := openConn(t, server, "")
--- a/internal/netio/httpd/stream.go
+++ b/internal/netio/httpd/stream.go
@@ -16,9 +16,9 @@
 	Broken() bool
 }
 
-// pullStream pulls data from the stream of the current response, if there is one, and queues it as output.
-// It stops when the stream has no more data, OutputHighWaterMark is reached or the memory quota has no
-// room.
+// pullStream pulls data from the stream of the current response, if there is one, and queues it as
+// output. It stops when the stream has no more data, OutputHighWaterMark is reached or the memory quota
+// has no room for more output of the connection.
 func (c *conn) pullStream() {
 	e := &c.exchange
 	// Output that has been queued in this iteration counts as unsent until the end of the iteration.
