--- a/internal/netio/http1/decoder.go
+++ b/internal/netio/http1/decoder.go
@@ -19,19 +19,20 @@
 type decoderState uint8
 
 const (
-	// stateHead expects the start line and header.
+	// stateHead means that the decoder expects the start line and header.
 	stateHead decoderState = iota
-	// stateBody expects the rest of a body of known length.
+	// stateBody means that the decoder expects the rest of a body of known length.
 	stateBody
-	// stateChunkLine expects the line before the data of a chunk.
+	// stateChunkLine means that the decoder expects the line before the data of a chunk.
 	stateChunkLine
-	// stateChunkData expects the rest of the data of a chunk.
+	// stateChunkData means that the decoder expects the rest of the data of a chunk.
 	stateChunkData
-	// stateChunkEnd expects the line end after the data of a chunk.
+	// stateChunkEnd means that the decoder expects the line end after the data of a chunk.
 	stateChunkEnd
-	// stateTrailer expects the trailer section, which follows the last chunk.
+	// stateTrailer means that the decoder expects the trailer section, which follows the last chunk.
 	stateTrailer
-	// stateUntilClose expects the rest of a body that ends when the connection is closed.
+	// stateUntilClose means that the decoder expects the rest of a body that ends when the connection
+	// is closed.
 	stateUntilClose
 )
 
@@ -140,8 +141,8 @@
 	return len(in), BodyData, nil
 }
 
-// addBodyBytes adds to the size of a body whose length the header does not give, and returns an error if
-// the size exceeds the limit.
+// addBodyBytes adds the given number of bytes to the counted size of a body whose length the header does not
+// give, and returns an error if the size then exceeds the limit for bodies.
 func (d *Decoder) addBodyBytes(bytes int64) *Error {
 	d.sectionBytes += bytes
 	if d.Limits.BodyBytes > 0 && d.sectionBytes > int64(d.Limits.BodyBytes) {
@@ -150,7 +151,7 @@
 	return nil
 }
 
-// endMessage completes a message. n is the number of bytes that the current call has consumed.
+// endMessage completes a message. n is the number of bytes that the current call of Next has consumed.
 func (d *Decoder) endMessage(n int) (int, Event, *Error) {
 	d.startMessage()
 	return n, MessageComplete, nil
--- a/internal/netio/httpc/client.go
+++ b/internal/netio/httpc/client.go
@@ -140,8 +140,8 @@
 	if decision.Action == connpool.UseIdle || decision.Action == connpool.ReplaceIdle {
 		chosen = c.idleConns[decision.Index]
 	}
-	// The stale connections are collected first, because closing a connection changes idleConns, to which
-	// the indices refer.
+	// All stale connections are collected before the first of them is closed. decision.Stale holds
+	// indices into idleConns, and closing a connection changes idleConns.
 	staleConns := make([]*conn, 0, len(decision.Stale))
 	for _, i := range decision.Stale {
 		staleConns = append(staleConns, c.idleConns[i])
@@ -179,8 +179,9 @@
 	connection.transport = transport
 }
 
-// startNextWaitingCall starts the first waiting call on freeConn or, if freeConn is nil, passes the call to
-// assignConn. If no call waits, freeConn becomes idle.
+// startNextWaitingCall removes the first call that has not ended from waitingCalls. It sends the request of
+// the call on freeConn or, if freeConn is nil, passes the call to assignConn. If there is no such call and
+// freeConn is not nil, freeConn becomes idle.
 func (c *Client) startNextWaitingCall(freeConn *conn) {
 	for len(c.waitingCalls) > 0 {
 		call := c.waitingCalls[0]
