--- a/internal/kube/engine/adoption.go
+++ b/internal/kube/engine/adoption.go
@@ -146,9 +146,10 @@
 	a.adoptIndex(job, index, adoptedTask)
 }
 
-// rebuildJob stores a Job again after a restart of the scheduler. It gets the manifest that a node stored
-// with a Pod of the Job. The engine does not start tasks of the Job until the other nodes have had time to
-// report their Pods. rebuildJob returns nil if the present configuration does not permit the Job.
+// rebuildJob stores a Job again after a restart of the scheduler. It rebuilds the Job from the manifest
+// that a node stored with a Pod of the Job. The engine does not start tasks of the Job until the other
+// nodes have had time to report their Pods. rebuildJob returns nil if the present configuration does not
+// permit the Job.
 func (a *adopter) rebuildJob(manifest *batchv1.Job) *job {
 	manifest.Generation = 1
 	rebuiltJob, err := a.jobController.newJob(manifest)
@@ -169,9 +170,9 @@
 	a.jobStatus.markDirty(job)
 }
 
-// finishJobAdoption handles the completion indexes of a rebuilt Job for which no node has reported a task.
-// The task of such an index may have ended or may never have started. The index is started again if the
-// tasks of the Job are idempotent. Otherwise the index fails.
+// finishJobAdoption handles each completion index of a rebuilt Job if no node has reported a task of the
+// index. The task of such an index may have ended or may never have started. The index is started again
+// if the tasks of the Job are idempotent. Otherwise the index fails.
 func (a *adopter) finishJobAdoption(job *job) {
 	if job.isDeleted() || !a.jobs.contains(job) {
 		return
--- a/internal/kube/engine/attempt.go
+++ b/internal/kube/engine/attempt.go
@@ -30,7 +30,7 @@
 	stopOrdersSent    int    // number of stop orders sent for the attempt; determines the delay before the next one
 }
 
-// podReport is the state of a Pod as its node reports it to the watch of the node's Pods.
+// podReport is the state of a Pod that the watch of a node's Pods has reported.
 type podReport struct {
 	pod         *corev1.Pod
 	deleted     bool
@@ -38,9 +38,9 @@
 	revision    int64
 }
 
-// isNewerThan reports whether the node sent the Pod report after the given answer. It returns false if the
-// report is nil. It also returns false if the report and the answer belong to different incarnations of
-// the node, because their revisions are then not comparable.
+// isNewerThan reports whether the node sent the Pod report after the given answer to an attempt. It
+// returns false if the report is nil. It also returns false if the report and the answer belong to
+// different incarnations of the node, because their revisions are then not comparable.
 func (r *podReport) isNewerThan(answer *AttemptAnswer) bool {
 	return r != nil && r.incarnation == answer.Incarnation && r.revision > answer.Revision
 }
--- a/internal/kube/engine/attempt_history.go
+++ b/internal/kube/engine/attempt_history.go
@@ -44,7 +44,7 @@
 // clearInFlight records that the attempt in flight was answered or abandoned.
 func (h *attemptHistory) clearInFlight() { h.inFlightAttempt = nil }
 
-// bind records that a node accepted an attempt, which becomes the running attempt.
+// bind records that a node accepted an attempt. The attempt becomes the running attempt of its task.
 func (h *attemptHistory) bind(attempt *attempt) {
 	h.runningAttempt = attempt
 	h.lastNumber = max(h.lastNumber, attempt.number)
--- a/internal/kube/engine/calls.go
+++ b/internal/kube/engine/calls.go
@@ -80,14 +80,14 @@
 }
 
 // NodeCounts returns the number of nodes that are ready or draining according to the inventory. It also
-// returns how many of these nodes have their Pods watched by the caller.
+// returns the number of these nodes whose Pods the caller watches.
 func (e *Engine) NodeCounts() (listedCount, watchedCount int) {
 	return e.nodes.countNodes()
 }
 
-// PodsListed handles the complete list of this scheduler's Pods on a node. The node states the revision of
-// the list and its own incarnation. A running task of the node has ended if the list does not contain its
-// Pod.
+// PodsListed handles the complete list of this scheduler's Pods on a node. The node states the revision
+// of the list and its own incarnation. If the list does not contain the Pod of a task that ran on the
+// node, the task has ended.
 func (e *Engine) PodsListed(now placer.Seconds, nodeName, incarnation string, revision int64, pods []*corev1.Pod) {
 	e.beginCall(now)
 	defer e.endCall()
--- a/internal/kube/engine/config.go
+++ b/internal/kube/engine/config.go
@@ -42,8 +42,8 @@
 	// NodeLossTimeout is the time after which the idempotent tasks of a missing node count as lost. During
 	// all of this time, the node must be absent from the inventory and must not respond.
 	NodeLossTimeout placer.Seconds
-	// MaxStartsPerCall limits the number of tasks that are started in one call. Later calls start the
-	// remaining tasks.
+	// MaxStartsPerCall limits the number of tasks that one call of the engine starts. Later calls start
+	// the remaining tasks.
 	MaxStartsPerCall int
 }
 
@@ -70,8 +70,8 @@
 	return nil
 }
 
-// setDefaults replaces zero settings by their defaults, and copies the shares of the tenants to the settings
-// of the admission controller.
+// setDefaults replaces zero settings by their defaults. It also copies the share of the cluster that each
+// tenant is entitled to use from Placer.Tenants to Admission.Shares.
 func (c *Config) setDefaults() {
 	setIfUnset(&c.HistoryEntries, DefaultHistoryEntries)
 	setIfUnset(&c.MaxPods, DefaultMaxPods)
--- a/internal/kube/engine/effect.go
+++ b/internal/kube/engine/effect.go
@@ -18,9 +18,9 @@
 	// AbandonAttempt tells the caller to stop waiting for the answer to an attempt. The caller may still call
 	// AttemptDone for the attempt.
 	AbandonAttempt
-	// StopTask asks the caller to delete the Pod on the node, and to report the answer with StopDone. Each
-	// attempt for the task has a number. From then on, the node must reject every attempt for the task
-	// whose number is not greater than Effect.Attempt. These attempts are then fenced.
+	// StopTask asks the caller to delete the Pod on the node, and to report the answer with StopDone. If
+	// an attempt for the task arrives after this stop order, the node must reject the attempt unless its
+	// attempt number is greater than Effect.Attempt. The attempts up to this number are then fenced.
 	StopTask
 	// WatchNode asks the caller to list and watch the Pods of the node, and to report them with PodsListed,
 	// PodChanged and NodeUnresponsive.
@@ -60,8 +60,9 @@
 	return dst
 }
 
-// emitStopTask emits a StopTask effect. The node must stop the Pod. It must also reject every later
-// attempt for the task of the Pod whose attempt number is not greater than the given number.
+// emitStopTask emits a StopTask effect. The node must stop the Pod. If an attempt for the task of the Pod
+// arrives later, the node must reject the attempt unless its attempt number is greater than the given
+// number.
 func (env *environment) emitStopTask(node *node, pod podIdentity, number int) {
 	env.stats.Stops++
 	env.emit(Effect{
--- a/internal/kube/engine/engine.go
+++ b/internal/kube/engine/engine.go
@@ -136,7 +136,7 @@
 func (e *Engine) beginCall(now placer.Seconds) { e.advanceClock(now) }
 
 // endCall makes the placer and the admission controller handle the events of the current call, and stores
-// the statuses of Jobs that have changed.
+// the changed statuses of Jobs.
 func (e *Engine) endCall() {
 	e.drainEvents()
 	e.requests.admitQueued()
--- a/internal/kube/engine/engine_test.go
+++ b/internal/kube/engine/engine_test.go
@@ -161,8 +161,8 @@
 }
 
 // TestStopWhileTaskAwaitsRerun guards against attempts after Engine.Stop. If a task ends without success,
-// a timer starts its completion index again and thereby creates a new Pod. If the engine is stopped before
-// this timer fires, the new Pod must get its final outcome without any attempt.
+// a timer starts the completion index of the task again and thereby creates a new Pod. If the engine is
+// stopped before this timer fires, the new Pod must get its final outcome without any attempt.
 func TestStopWhileTaskAwaitsRerun(t *testing.T) {
 	engine := newEngine(t)
 	createJobOnOneNode(t, engine, 1)
--- a/internal/kube/engine/errors.go
+++ b/internal/kube/engine/errors.go
@@ -34,7 +34,7 @@
 func (e *InvalidError) Error() string { return fmt.Sprintf("%s: %v: %s", e.Field, e.Value, e.Detail) }
 
 // checkPreconditions returns ErrConflict if an object does not have the required UID or resource version.
-// An empty UID or resource version is not required.
+// If the required UID or resource version is empty, checkPreconditions does not compare it.
 func checkPreconditions(object metav1.Object, uid types.UID, resourceVersion string) error {
 	if uid != "" && uid != object.GetUID() {
 		return ErrConflict
--- a/internal/kube/engine/fixture_test.go
+++ b/internal/kube/engine/fixture_test.go
@@ -59,8 +59,8 @@
 	return engine
 }
 
-// listedNode returns the Node object by which the inventory describes a ready node. If startedAt is not 0,
-// the Node object states it as the start time of the node.
+// listedNode returns the Node object of a ready node, as listed by the inventory (the server that lists
+// all nodes). If startedAt is not 0, the Node object states it as the start time of the node.
 func listedNode(incarnation string, startedAt placer.Seconds) *corev1.Node {
 	node := &corev1.Node{}
 	node.Name = nodeName
--- a/internal/kube/engine/job_controller.go
+++ b/internal/kube/engine/job_controller.go
@@ -39,7 +39,7 @@
 	if job.indexes.at(task.index).task != task {
 		return
 	}
-	job.indexes.end(task.index)
+	job.indexes.recordTaskEnd(task.index)
 	c.jobStatus.markDirty(job)
 	switch {
 	case succeeded:
--- a/internal/kube/engine/job_indexes.go
+++ b/internal/kube/engine/job_indexes.go
@@ -26,7 +26,7 @@
 func (s indexState) String() string { return indexStateNames[s] }
 
 // indexTransitions lists, for each state, the states that may follow it. A finished index becomes active
-// again if the engine adopts a task of the index that still runs on a node.
+// again if a task of the index still runs on a node and the engine adopts this task.
 var indexTransitions = transitionTable[indexState]{
 	indexPending:  {indexPending, indexActive, indexFinished},
 	indexActive:   {indexRetrying},
@@ -140,9 +140,9 @@
 	return true
 }
 
-// end records that the task of a completion index has ended. Unless the Job is deleted, the caller must
-// then call succeed, fail or restart for the index.
-func (t *completionIndexTable) end(i int) {
+// recordTaskEnd records that the task of a completion index has ended. Unless the Job is deleted, the
+// caller must then call succeed, fail or restart for the index.
+func (t *completionIndexTable) recordTaskEnd(i int) {
 	t.entries[i].task = nil
 	t.setState(i, indexRetrying)
 	t.activeIndexes--
@@ -164,8 +164,9 @@
 	}
 }
 
-// failUnreported fails a completion index of a rebuilt Job for which no node has reported a task. The
-// index may have had a task before the restart of the scheduler, and this task may have run.
+// failUnreported fails a completion index of a rebuilt Job. It is called if no node has reported a task
+// of the index. The index may have had a task before the restart of the scheduler, and this task may have
+// run.
 func (t *completionIndexTable) failUnreported(i int) {
 	t.fail(i, false)
 	if t.countOutcome(i, outcomeFailed) {
@@ -173,8 +174,8 @@
 	}
 }
 
-// restart makes a completion index pending again. The next time when jobStarter takes the Job from its
-// backlog, it may start the index.
+// restart makes a completion index pending again. When jobStarter next takes the Job from the backlog, it
+// may start the index.
 func (t *completionIndexTable) restart(i int) {
 	t.setState(i, indexPending)
 	t.nextUnstarted = min(t.nextUnstarted, i)
--- a/internal/kube/engine/job_rerun.go
+++ b/internal/kube/engine/job_rerun.go
@@ -59,8 +59,8 @@
 	case cause == retry.Rejected && !task.isStopping():
 		return false // the placement requests of the task have already been retried as often as permitted
 	case idempotency == placer.NonIdempotent:
-		// The index may be started again only if the task has not run to its end and no other attempt may
-		// have run the task.
+		// The index may be started again only if the task has not run to its end and no other attempt has
+		// possibly run the task.
 		return cause != retry.Failed && task.attempts.evidence != possiblyRan
 	}
 	return true
--- a/internal/kube/engine/job_state.go
+++ b/internal/kube/engine/job_state.go
@@ -32,8 +32,8 @@
 // finished reports whether a Job in this state has its final condition, which is Complete or Failed.
 func (p jobProgress) finished() bool { return p == jobFailed || p == jobEnded }
 
-// failsAsWhole reports whether a Job in this state fails, or has failed, as a whole. The reason for such a
-// failure is not the failure of completion indexes.
+// failsAsWhole reports whether a Job in this state fails, or has failed, as a whole. A Job that runs to
+// its end and has failed completion indexes does not fail as a whole.
 func (p jobProgress) failsAsWhole() bool { return p == jobFailing || p == jobFailed }
 
 // afterLastTask returns the next state of a Job that has no active tasks and will not start any more
--- a/internal/kube/engine/job_state_test.go
+++ b/internal/kube/engine/job_state_test.go
@@ -105,9 +105,9 @@
 		t.Errorf("takeNext returned index %d although the number of active indexes has reached the parallelism, want no index", index)
 	}
 
-	table.end(0)
+	table.recordTaskEnd(0)
 	table.succeed(0)
-	table.end(1)
+	table.recordTaskEnd(1)
 	table.fail(1, true)
 	if table.activeIndexes != 0 || table.succeededTasks != 1 || table.failedTasks != 1 || table.failedIndexes != 0 || table.allEnded() {
 		t.Errorf("the counts of the table are wrong after one index has succeeded and the task of another has failed and will be retried: %+v", table)
--- a/internal/kube/engine/node.go
+++ b/internal/kube/engine/node.go
@@ -54,7 +54,7 @@
 }
 
 // beginPublish records that the engine is about to publish the Node object with all changes that API
-// clients have requested. The given fingerprint belongs to the inventory's Node.
+// clients have requested. The given fingerprint is the hash of the inventory's Node.
 func (n *node) beginPublish(fingerprint uint64) {
 	n.publishedFingerprint = fingerprint
 	n.apiUpdatePending = false
@@ -111,8 +111,9 @@
 	return previous != ""
 }
 
-// freeCapacity returns the cores and the memory in GiB of a node that no Pod requests. Both are 0 if the
-// Node object has no valid annotation for the free capacity.
+// freeCapacity returns the free cores and the free memory in GiB of a node. Cores and memory are free if
+// no Pod requests them. Both results are 0 if the Node object has no valid annotation for the free
+// capacity.
 func freeCapacity(object *corev1.Node) (cores, memory float64) {
 	freeValues, err := wellknown.ParseDict(object.Annotations[wellknown.FreeCapacity])
 	if err != nil {
--- a/internal/kube/engine/node_registry.go
+++ b/internal/kube/engine/node_registry.go
@@ -177,12 +177,12 @@
 	return placerNode
 }
 
-// incarnationStart returns the start time of the incarnation that the inventory states for a node, by this
-// scheduler's clock. 0 means that the incarnation started long ago. If the incarnation appeared after the
-// first list, the result is the time at which the inventory first listed the incarnation. The timestamp of
-// the node itself is not used in this case, because the clocks of nodes differ: a node that has just
-// started and whose clock is behind would get no slow start. The list arrives somewhat later than the true
-// start of the incarnation, which only prolongs the slow start.
+// The inventory states an incarnation for each node. incarnationStart returns the start time of this
+// incarnation by the scheduler's clock. 0 means that the incarnation started long ago. If the incarnation
+// appeared after the first list, the result is the time at which the inventory first listed the
+// incarnation. The timestamp of the node itself is not used in this case, because the clocks of nodes
+// differ: a node that has just started and whose clock is behind would get no slow start. The list
+// arrives somewhat later than the true start of the incarnation, which only prolongs the slow start.
 func (r *nodeRegistry) incarnationStart(node *node) placer.Seconds {
 	incarnation := node.inventoryNode.Status.NodeInfo.BootID
 	if node.reportedToPlacer && incarnation != "" && incarnation == node.listedIncarnation {
--- a/internal/kube/engine/pod_observer.go
+++ b/internal/kube/engine/pod_observer.go
@@ -18,8 +18,8 @@
 	adopter   *adopter
 }
 
-// observePodList implements Engine.PodsListed. It handles the complete list of a node's Pods. A running
-// task of the node has ended if the list does not contain its Pod.
+// observePodList implements Engine.PodsListed. It handles the complete list of a node's Pods. If the list
+// does not contain the Pod of a task that ran on the node, the task has ended.
 func (o *podObserver) observePodList(nodeName, incarnation string, revision int64, pods []*corev1.Pod) {
 	node := o.nodes.getByName(nodeName)
 	if node == nil {
@@ -32,8 +32,8 @@
 		o.observePod(node, pod, false)
 	}
 	for _, task := range inCreationOrder(node.runningTasks) {
-		// If the node accepted a task after it had made the list, the revision of the task is newer than
-		// the revision of the list. Such a task is not missing.
+		// If the node accepted a task after the node had made the list, the revision of the task is newer
+		// than the revision of the list. Such a task is not missing.
 		if !reportedUIDs[task.uid] && task.attempts.runningAttempt.revision <= revision {
 			o.endMissingTask(task)
 		}
@@ -48,8 +48,8 @@
 }
 
 // observePod handles a node's report of a Pod. If the Pod belongs to a known task, observePod updates the
-// task, or makes the node stop the Pod if it is a duplicate of the task. If the Pod belongs to no known
-// task, observePod adopts the Pod.
+// task, or makes the node stop the Pod if the Pod runs a duplicate of the task. If the Pod belongs to no
+// known task, observePod adopts the Pod.
 func (o *podObserver) observePod(node *node, pod *corev1.Pod, deleted bool) {
 	task := o.tasks.get(pod.UID)
 	finished := deleted || wellknown.PodFinished(pod)
--- a/internal/kube/engine/reconcile.go
+++ b/internal/kube/engine/reconcile.go
@@ -91,8 +91,8 @@
 	}
 }
 
-// observe handles a node's report of the Pod of a task if the outcome of an attempt for the task at this
-// node is unknown.
+// observe handles a node's report of a Pod. It is called if an attempt for the Pod's task was sent to
+// this node and has an unknown outcome.
 func (r *outcomeReconciler) observe(attempt *attempt, report *podReport) {
 	if report.deleted || wellknown.PodFinished(report.pod) {
 		r.resolve(attempt, report.pod.Status.Reason != wellknown.NeverStarted)
--- a/internal/kube/engine/request.go
+++ b/internal/kube/engine/request.go
@@ -96,7 +96,8 @@
 	}
 }
 
-// deadline returns the deadline that a placement request for the task has if it is submitted now.
+// deadline returns the deadline of a placement request for the task. It assumes that the request is
+// submitted now.
 func (r *requestTable) deadline(task *task) placer.Seconds {
 	return min(task.deadline, r.now+r.cfg.Placer.Classes[task.class].Deadline)
 }
--- a/internal/kube/engine/script_nodes_test.go
+++ b/internal/kube/engine/script_nodes_test.go
@@ -154,7 +154,7 @@
 	}
 }
 
-// nodeObject returns the Node object by which the inventory describes a node.
+// nodeObject returns the Node object of an emulated node, as the emulated inventory lists it.
 func (s *script) nodeObject(node *fakeNode) *corev1.Node {
 	nodeIndex := slices.Index(s.nodes, node)
 	object := &corev1.Node{}
--- a/internal/kube/engine/task_state.go
+++ b/internal/kube/engine/task_state.go
@@ -63,8 +63,8 @@
 func (s taskState) isOnNode() bool { return s == taskBound || s == taskRunning }
 
 // canBind reports whether a task in this state may be bound to an attempt when a node reports that the
-// attempt runs. Otherwise the attempt runs a duplicate of the task, and the engine must stop the
-// duplicate.
+// attempt runs. If the task cannot be bound, the attempt runs a duplicate of the task, and the engine
+// must stop the duplicate.
 func (s taskState) canBind() bool { return s == taskQueued || s == taskSubmitted || s == taskWaiting }
 
 // invariantViolation describes the first contradiction between the state of the task and its other fields.
--- a/internal/kube/engine/task_state_test.go
+++ b/internal/kube/engine/task_state_test.go
@@ -69,7 +69,7 @@
 			"a task that has a stop reason must be bound, running or terminating"},
 		{"task with a deleted Pod and no stop reason", func(_ *Engine, corrupted *task) { corrupted.podDeleted = true },
 			"a task whose Pod is deleted must have a stop reason"},
-		{"attempt with an unknown outcome of which its node has no record", func(engine *Engine, corrupted *task) {
+		{"node has no record of an attempt with an unknown outcome", func(engine *Engine, corrupted *task) {
 			corrupted.attempts.unknownOutcomes = append(corrupted.attempts.unknownOutcomes, &attempt{task: corrupted, node: engine.nodes.getByName(nodeName)})
 		}, "the node of each attempt with an unknown outcome must have a record of the attempt"},
 		{"unplaced task with a running attempt", func(engine *Engine, corrupted *task) {
--- a/internal/kube/engine/task_stop.go
+++ b/internal/kube/engine/task_stop.go
@@ -10,9 +10,10 @@
 // (jobStarter.startTask).
 const stoppingMessage = "the scheduler stops"
 
-// stopAll implements Engine.Stop. A task gets its final outcome if the placer does not have its placement
-// request. The task gets this outcome at once, or after the wait for an unknown outcome. No placement
-// request is retried.
+// stopAll implements Engine.Stop. It does not change a task whose placement request is already at the
+// placer, or that a node has accepted. A queued or waiting task gets its final outcome. If the outcomes
+// of all its attempts are known, it gets the final outcome at once. Otherwise the engine may first wait
+// until the unknown outcome of an attempt becomes known. No placement request is retried.
 func (l *taskLifecycle) stopAll() {
 	l.stopping = true
 	for _, task := range l.tasks.tasksInCreationOrder() {
@@ -25,9 +26,11 @@
 	}
 }
 
-// withdrawQueuedRequest cancels the placement request of a queued task when the engine stops. No timer is
-// pending for a queued task. If an attempt of the task has an unknown outcome, withdrawQueuedRequest must
-// set the timer for the wait for this outcome, or must settle the task.
+// withdrawQueuedRequest cancels the placement request of a queued task when the engine stops. If the
+// outcomes of all attempts of the task are known, the task is waiting afterwards, and stopAll stores its
+// final outcome. If an attempt has an unknown outcome, retryOrSettle either sets a timer for the wait for
+// this outcome or stores the final outcome of the task. Without the call of retryOrSettle, the task would
+// never get a final outcome, because no timer is pending for a queued task.
 func (l *taskLifecycle) withdrawQueuedRequest(task *task) {
 	l.requests.withdraw(task)
 	if task.attempts.hasUnknownOutcome() {
--- a/internal/kube/store/store_test.go
+++ b/internal/kube/store/store_test.go
@@ -135,7 +135,7 @@
 	testStore.KeepSnapshot(1000, snapshot)
 	testStore.Put(Pods, newPod("a", "later"))
 	if keptSnapshot, err := testStore.FindSnapshot(1001, Pods, snapshot.Revision); err != nil || keptSnapshot.Len() != 5 {
-		t.Errorf("FindSnapshot did not return the kept snapshot with its 5 objects: error %v", err)
+		t.Errorf("FindSnapshot returned error %v or a wrong snapshot, want no error and the kept snapshot with its 5 objects", err)
 	}
 	if _, err := testStore.FindSnapshot(1000+snapshotRetention+1, Pods, snapshot.Revision); !errors.Is(err, ErrExpired) {
 		t.Errorf("FindSnapshot returned error %v for a snapshot whose retention time has passed, want ErrExpired", err)
@@ -159,11 +159,11 @@
 			t.Fatalf("the cost of the history exceeds its limit after %d changes: it is %d bytes", i+1, testStore.HistoryCost())
 		}
 		if changes, err := testStore.ChangesSince(Pods, testStore.Revision()-1, 10); err != nil || len(changes) != 1 {
-			t.Fatalf("ChangesSince did not return the last change of the store: error %v", err)
+			t.Fatalf("ChangesSince returned error %v for the revision before the last change, want exactly one change and no error", err)
 		}
 	}
 	if changes, err := testStore.ChangesSince(Pods, testStore.Revision()-90, 100); err != nil || len(changes) != 90 {
-		t.Errorf("ChangesSince returned %d changes for the last 90 small Pods, want 90: error %v", len(changes), err)
+		t.Errorf("ChangesSince returned %d changes for the revision before the last 90 changes of small Pods, want 90 changes and no error; the error is %v", len(changes), err)
 	}
 	snapshot := testStore.Snapshot(Pods)
 	for i := range 10 {
