--- a/internal/kube/engine/effect.go
+++ b/internal/kube/engine/effect.go
@@ -41,7 +41,7 @@
 	UID       types.UID      // UID of the task's Pod
 	Namespace string         // namespace of the task's Pod
 	Name      string         // name of the task's Pod
-	Attempt   int            // number of the attempt within its task; for StopTask, the highest number to reject
+	Attempt   int            // number of the attempt within its task; for StopTask, the highest attempt number to reject
 	Deadline  placer.Seconds // time until which the caller waits for the answer to SendAttempt
 	// AvoidUnknownOutcome is set for SendAttempt if the task must not run twice. The caller must then use
 	// a connection to the node on which it can determine whether the node has read the request.
--- a/internal/kube/engine/job_indexes.go
+++ b/internal/kube/engine/job_indexes.go
@@ -25,8 +25,8 @@
 
 func (s indexState) String() string { return indexStateNames[s] }
 
-// indexTransitions lists, for each state, the states that may follow it. A finished index becomes active
-// again if a task of the index still runs on a node and the engine adopts this task.
+// indexTransitions lists, for each state of a completion index, the states that may follow it. A finished
+// index becomes active again if a task of the index still runs on a node and the engine adopts this task.
 var indexTransitions = transitionTable[indexState]{
 	indexPending:  {indexPending, indexActive, indexFinished},
 	indexActive:   {indexRetrying},
--- a/internal/kube/engine/node_registry.go
+++ b/internal/kube/engine/node_registry.go
@@ -71,8 +71,8 @@
 	r.post(placer.Event{Kind: placer.NodesListed, List: listKind, Nodes: placerNodes})
 }
 
-// applyNodes updates the records of the listed nodes, and returns these records. It skips a node if the
-// placer ID of the node already belongs to another node.
+// applyNodes updates the records of the nodes that a report of the inventory contains, and returns these
+// records. It skips a node if the placer ID of the node already belongs to another node.
 func (r *nodeRegistry) applyNodes(listedNodes []*corev1.Node) []*node {
 	var updatedNodes []*node
 	for _, object := range listedNodes {
@@ -81,7 +81,7 @@
 			continue
 		}
 		r.setAddress(node, wellknown.NodeAddress(object))
-		// The list may be out of date and may state an earlier incarnation. The list must not change
+		// The report may be out of date and may state an earlier incarnation. The report must not change
 		// node.incarnation, because only the node itself knows its present incarnation.
 		node.inventoryNode = object
 		updatedNodes = append(updatedNodes, node)
@@ -195,8 +195,8 @@
 	case r.inventoryListed:
 		node.listedStartedAt = r.now
 	default:
-		// The node was in the first list that this scheduler received. Only the timestamp of the node
-		// itself states when the node started.
+		// The node was in the first list of the inventory that this scheduler received. Only the
+		// timestamp of the node itself states when the node started.
 		node.listedStartedAt = min(statedStart, r.now)
 	}
 	node.listedIncarnation = incarnation
--- a/internal/kube/engine/script_nodes_test.go
+++ b/internal/kube/engine/script_nodes_test.go
@@ -53,10 +53,10 @@
 		answer.Result = placer.Lost
 	case draw < 30:
 		return // The node never answers.
-	case draw < 38: // The node accepts the task, but its answer is lost.
+	case draw < 38: // The node accepts the task, but the answer of the node is lost.
 		s.accept(node, effect)
 		answer.Result, answer.Incarnation = placer.Lost, ""
-	case draw < 46: // The node accepts the task, but its answer arrives too late.
+	case draw < 46: // The node accepts the task, but the answer of the node arrives too late.
 		answer.Accepted, answer.Revision, delay = true, s.accept(node, effect), s.randomDelay(3, 8)
 	default:
 		answer.Accepted, answer.Revision = true, s.accept(node, effect)
--- a/internal/kube/engine/task_state.go
+++ b/internal/kube/engine/task_state.go
@@ -37,7 +37,7 @@
 
 func (s taskState) String() string { return taskStateNames[s] }
 
-// taskTransitions lists, for each state, the states that may follow it.
+// taskTransitions lists, for each state of a task, the states that may follow it.
 //
 // While a task is queued, submitted or waiting, a node may report that an earlier attempt with an unknown
 // outcome runs the task. The task is then bound to this attempt.
--- a/internal/kube/engine/task_stop.go
+++ b/internal/kube/engine/task_stop.go
@@ -13,7 +13,8 @@
 // stopAll implements Engine.Stop. It does not change a task whose placement request is already at the
 // placer, or that a node has accepted. A queued or waiting task gets its final outcome. If the outcomes
 // of all its attempts are known, it gets the final outcome at once. Otherwise the engine may first wait
-// until the unknown outcome of an attempt becomes known. No placement request is retried.
+// until the unknown outcome of an attempt becomes known. The engine schedules no further retry of a
+// placement request.
 func (l *taskLifecycle) stopAll() {
 	l.stopping = true
 	for _, task := range l.tasks.tasksInCreationOrder() {
