--- a/internal/kube/engine/node_registry.go
+++ b/internal/kube/engine/node_registry.go
@@ -71,8 +71,8 @@
 	r.post(placer.Event{Kind: placer.NodesListed, List: listKind, Nodes: placerNodes})
 }
 
-// applyNodes updates the records of the listed nodes, and returns these records. It skips a node if the
-// placer ID of the node already belongs to another node.
+// applyNodes updates the records of the nodes that a report of the inventory contains, and returns these
+// records. It skips a node if the placer ID of the node already belongs to another node.
 func (r *nodeRegistry) applyNodes(listedNodes []*corev1.Node) []*node {
 	var updatedNodes []*node
 	for _, object := range listedNodes {
@@ -81,7 +81,7 @@
 			continue
 		}
 		r.setAddress(node, wellknown.NodeAddress(object))
-		// The list may be out of date and may state an earlier incarnation. The list must not change
+		// The report may be out of date and may state an earlier incarnation. The report must not change
 		// node.incarnation, because only the node itself knows its present incarnation.
 		node.inventoryNode = object
 		updatedNodes = append(updatedNodes, node)
@@ -177,12 +177,12 @@
 	return placerNode
 }
 
-// incarnationStart returns the start time of the incarnation that the inventory states for a node, by this
-// scheduler's clock. 0 means that the incarnation started long ago. If the incarnation appeared after the
-// first list, the result is the time at which the inventory first listed the incarnation. The timestamp of
-// the node itself is not used in this case, because the clocks of nodes differ: a node that has just
-// started and whose clock is behind would get no slow start. The list arrives somewhat later than the true
-// start of the incarnation, which only prolongs the slow start.
+// The inventory states an incarnation for each node. incarnationStart returns the start time of this
+// incarnation by the scheduler's clock. 0 means that the incarnation started long ago. If the incarnation
+// appeared after the first list, the result is the time at which the inventory first listed the
+// incarnation. The timestamp of the node itself is not used in this case, because the clocks of nodes
+// differ: a node that has just started and whose clock is behind would get no slow start. The list
+// arrives somewhat later than the true start of the incarnation, which only prolongs the slow start.
 func (r *nodeRegistry) incarnationStart(node *node) placer.Seconds {
 	incarnation := node.inventoryNode.Status.NodeInfo.BootID
 	if node.reportedToPlacer && incarnation != "" && incarnation == node.listedIncarnation {
@@ -195,8 +195,8 @@
 	case r.inventoryListed:
 		node.listedStartedAt = r.now
 	default:
-		// The node was in the first list that this scheduler received. Only the timestamp of the node
-		// itself states when the node started.
+		// The node was in the first list of the inventory that this scheduler received. Only the
+		// timestamp of the node itself states when the node started.
 		node.listedStartedAt = min(statedStart, r.now)
 	}
 	node.listedIncarnation = incarnation
--- a/internal/kube/engine/script_nodes_test.go
+++ b/internal/kube/engine/script_nodes_test.go
@@ -53,10 +53,10 @@
 		answer.Result = placer.Lost
 	case draw < 30:
 		return // The node never answers.
-	case draw < 38: // The node accepts the task, but its answer is lost.
+	case draw < 38: // The node accepts the task, but the answer of the node is lost.
 		s.accept(node, effect)
 		answer.Result, answer.Incarnation = placer.Lost, ""
-	case draw < 46: // The node accepts the task, but its answer arrives too late.
+	case draw < 46: // The node accepts the task, but the answer of the node arrives too late.
 		answer.Accepted, answer.Revision, delay = true, s.accept(node, effect), s.randomDelay(3, 8)
 	default:
 		answer.Accepted, answer.Revision = true, s.accept(node, effect)
@@ -154,7 +154,7 @@
 	}
 }
 
-// nodeObject returns the Node object by which the inventory describes a node.
+// nodeObject returns the Node object of an emulated node, as the emulated inventory lists it.
 func (s *script) nodeObject(node *fakeNode) *corev1.Node {
 	nodeIndex := slices.Index(s.nodes, node)
 	object := &corev1.Node{}
