--- a/internal/simbridge/simconfig/characterization_test.go
+++ b/internal/simbridge/simconfig/characterization_test.go
@@ -19,8 +19,8 @@
 const minimalSettings = `{"peersTotal":1,"permissions":{"mostTries":1},"extra":{"coresByKind":[4],"kindMemory":[8]},
  "lanes":[{"effect":"idempotent","hardLimitS":4,"objectiveS":1}]}`
 
-// shortListSettings contains unknown keys and lists with fewer values than task classes. The last value of such a list
-// applies to the remaining classes.
+// shortListSettings contains unknown keys and lists with fewer values than there are task classes. The last value of such a
+// list applies to the remaining task classes.
 const shortListSettings = `{"discovery":"push","me":1,"myZone":2,"peersTotal":3,"unheardOf":{"a":[1]},"roundS":0.05,
  "extra":{"admitMemory":1.5,"apartBy":["none","cell","zone"],"classKind":[1],"coresByKind":[8,16],"counts":"used","cpuBooking":2,
   "freeInList":true,"fullUpTo":[1,0.8],"fadesOver":[1,0.2],"kindMemory":[16,32],"precedence":[0,2],"saysYes":"running",
@@ -33,7 +33,8 @@
  "loadReport":{"fields":["x1","utilization"],"how":"answers"},"permissions":{"mostTries":3},
  "rules":{"answerSlackS":0.01,"askWithinS":9,"fallS":1,"warmWithinS":8}}`
 
-// completeSettings contains every key. The numbers differ to reveal an exchange of two fields.
+// completeSettings contains every key that Parse uses. Fields that Parse could mistake for each other have different numbers,
+// which makes the test fail if Parse exchanges two of them.
 const completeSettings = `{"discovery":"ask","me":4,"myZone":5,"peersTotal":6,"roundS":0.11,"overShareWorth":0.12,
  "flavors":["small","large","wide"],"zones":["a","b","c"],
  "extra":{"admitMemory":1.21,"apartBy":["machine","all","zone"],"bound":true,"classKind":[2,0,1],"coresByKind":[8.1,16.1,32.1],
@@ -50,7 +51,9 @@
  "rules":{"answerSlackS":0.41,"askWithinS":42.1,"coldFrom":0.43,"drainGraceS":4.4,"fallS":4.5,"overloadFactor":4.6,"warmWithinS":4.7}}`
 
 // describeSettings returns all fields of the settings as text in a fixed order. Integers are written in decimal, floating
-// point numbers as their bits, and strings in quotes.
+// point numbers as their bits, and strings in quotes. Each line begins with the number of its group of fields: 1 is for the
+// integers and switches of the placer configuration, 2 and 3 are for its floating point numbers, 4 is for one task class,
+// 5 for one node type, 6 for one tenant, 7 for the lists of names, and 8 for the idle timeout and the batch interval.
 func describeSettings(settings *simconfig.Settings) string {
 	var text strings.Builder
 	writeFloats := func(values ...float64) {
@@ -106,10 +109,10 @@
 func TestCharacterizationOfInvalidSettings(t *testing.T) {
 	for _, testCase := range []struct{ old, new, wantError string }{
 		{`"idempotent"`, `"idempotent"`, ""},
-		{`"idempotent"`, `"maybe"`, `settings: lanes[0].effect: unknown value "maybe"`},
-		{`"keyScope":"cell"`, `"keyScope":"moon"`, `settings: lanes[1].keyScope: unknown topology domain "moon"`},
+		{`"idempotent"`, `"maybe"`, `settings: lanes[0].effect (idempotency of the task class): unknown value "maybe"`},
+		{`"keyScope":"cell"`, `"keyScope":"moon"`, `settings: lanes[1].keyScope (deduplication domain of the task class): unknown topology domain "moon"`},
 		{`"keyScope":"cell"`, `"keyScope":""`, ""},
-		{`["none","cell","zone"]`, `["none","moon"]`, `settings: extra.apartBy[1]: unknown topology domain "moon"`},
+		{`["none","cell","zone"]`, `["none","moon"]`, `settings: extra.apartBy[1] (spread domain of the task class): unknown topology domain "moon"`},
 		{`"kindMemory":[16,32]`, `"kindMemory":[16]`, "settings: extra.kindMemory has length 1, but extra.coresByKind has length 2"},
 		{`{"discovery"`, `["discovery"`, "settings: invalid character ':' after array element"},
 	} {
@@ -123,19 +126,20 @@
 	}
 }
 
-// TestCharacterizationOfSetReportField pins which field of a load report each name sets. All other fields stay NaN.
+// TestCharacterizationOfSetReportField pins which field of a load report SetReportField sets for each field name in the
+// settings. All other fields stay NaN.
 func TestCharacterizationOfSetReportField(t *testing.T) {
 	for fieldName, wantDigits := range map[string]string{"x0": "1000", "x1": "0100", "utilization": "0010", "backlog": "0001", "other": "0000"} {
 		report := simconfig.EmptyReport()
 		simconfig.SetReportField(&report, fieldName, 2.5)
 		if got := describeReport(report); got != wantDigits {
-			t.Errorf("load report after setting field %q: got set fields %s, want %s", fieldName, got, wantDigits)
+			t.Errorf("load report after setting field %q to 2.5: got fields %s, want %s (0 is NaN, 1 is 2.5)", fieldName, got, wantDigits)
 		}
 	}
 }
 
-// describeReport returns one digit for each value of a load report. The digit is 0 if the value is NaN, 1 if the value is
-// 2.5, and ? otherwise.
+// describeReport returns one character for each value of a load report: 0 if the value is NaN, 1 if the value is 2.5, and ?
+// otherwise. The order of the values is free cores, free memory, utilization and queue length.
 func describeReport(report placer.Report) string {
 	var text strings.Builder
 	for _, value := range []float64{report.FreeCores, report.FreeMemory, report.Utilization, report.QueueLength} {
--- a/internal/simbridge/simconfig/report.go
+++ b/internal/simbridge/simconfig/report.go
@@ -12,7 +12,8 @@
 	return placer.Report{FreeCores: unset, FreeMemory: unset, Utilization: unset, QueueLength: unset}
 }
 
-// SetReportField sets the field of a load report that has the given name in the settings. It ignores unknown names.
+// SetReportField sets one field of a load report. The settings refer to the field by the given name; an unknown name is
+// ignored.
 func SetReportField(report *placer.Report, fieldName string, value float64) {
 	switch fieldName {
 	case "x0":
--- a/internal/simbridge/simconfig/simconfig.go
+++ b/internal/simbridge/simconfig/simconfig.go
@@ -14,19 +14,21 @@
 // Settings holds the configuration of the placer and the other settings that a scheduler needs.
 type Settings struct {
 	Placer placer.Config
-	// These lists hold the names of task classes, tenants, zones and node types; the index of a name is the number that
-	// the placer uses. A name that is not in its list is unknown. This differs from the lists of values by task class,
-	// whose last value applies to all further classes.
+	// These lists hold the names of task classes, tenants, zones and node types. The placer uses the index of a name
+	// instead of the name, and a name that is not in its list is unknown. Lists of values by task class, such as
+	// extra.startBonusS, are extended instead: the last value applies to all task classes beyond the end of the list.
 	ClassNames, TenantNames, ZoneNames, NodeTypeNames []string
 	// ReportFields holds the names of the values of a load report, in the order in which a report has them.
 	ReportFields []string
-	// IdleTimeout is the time after which a node closes an idle connection. It is 0 if the settings do not give that time.
+	// IdleTimeout is the time after which a node closes an idle connection of the scheduler. It is 0 if the settings
+	// do not contain the key permissions.connIdleS.
 	IdleTimeout placer.Seconds
 	// BatchInterval is the minimum time between two batches of events.
 	BatchInterval placer.Seconds
 }
 
-// These values of settings select one of two modes. Any other value selects the other mode.
+// Three keys of the settings each choose between two modes. Each of these constants is the value of one key that selects
+// the mode described beside the constant; any other value of the key selects the opposite mode.
 const (
 	pollingDiscovery       = "ask"     // With this value of the key discovery, node lists are sent only on request.
 	acknowledgementOnStart = "running" // With this value of extra.saysYes, a node accepts a task when the task runs.
@@ -123,19 +125,20 @@
 	}
 	var err error
 	if class.Idempotency, err = parseIdempotency(lane.Effect); err != nil {
-		return class, fmt.Errorf("lanes[%d].effect: %w", index, err)
+		return class, fmt.Errorf("lanes[%d].effect (idempotency of the task class): %w", index, err)
 	}
 	class.DedupDomain, err = parseTopologyDomain(lane.KeyScope)
 	if err != nil && class.Idempotency == placer.IdempotentByKey {
-		return class, fmt.Errorf("lanes[%d].keyScope: %w", index, err)
+		return class, fmt.Errorf("lanes[%d].keyScope (deduplication domain of the task class): %w", index, err)
 	}
 	if class.SpreadDomain, err = parseTopologyDomain(valueOrLast(extra.ApartBy, index, "none")); err != nil {
-		return class, fmt.Errorf("extra.apartBy[%d]: %w", index, err)
+		return class, fmt.Errorf("extra.apartBy[%d] (spread domain of the task class): %w", index, err)
 	}
 	return class, nil
 }
 
-// placerNodeTypes returns the node types. The settings give their cores and their memory as two lists of equal length.
+// placerNodeTypes returns the node types. The keys extra.coresByKind and extra.kindMemory contain the cores and the memory of
+// the node types; both lists must have the same length.
 func (s *settings) placerNodeTypes() ([]placer.NodeType, error) {
 	cores, memory := s.Extra.CoresByKind, s.Extra.KindMemory
 	if len(memory) != len(cores) {
@@ -148,8 +151,8 @@
 	return types, nil
 }
 
-// valueOrLast returns the value with the given index. It returns the last value if the list is shorter, and the fallback
-// if the list is empty.
+// valueOrLast returns the value with the given index. It returns the last value if the index is beyond the end of the list,
+// and the fallback if the list is empty.
 func valueOrLast[T any](values []T, index int, fallback T) T {
 	if len(values) == 0 {
 		return fallback
@@ -157,7 +160,7 @@
 	return values[min(index, len(values)-1)]
 }
 
-// parseIdempotency returns the idempotency of a task class. The settings call it the effect of the class.
+// parseIdempotency returns the idempotency that a task class has with the given value of its key effect.
 func parseIdempotency(name string) (placer.Idempotency, error) {
 	switch name {
 	case "idempotent":
@@ -170,7 +173,8 @@
 	return placer.Idempotent, fmt.Errorf("unknown value %q", name)
 }
 
-// parseTopologyDomain returns the topology domain that has the given name in the settings.
+// parseTopologyDomain returns the topology domain that has the given name in the settings. The settings call a node a
+// machine, a rack a cell and the cluster all.
 func parseTopologyDomain(name string) (placer.TopologyDomain, error) {
 	switch name {
 	case "none", "":
