--- a/internal/simbridge/simproto/characterization_test.go
+++ b/internal/simbridge/simproto/characterization_test.go
@@ -52,7 +52,8 @@
 }
 
 // describeEvent returns all fields of an event as text in a fixed order. Floating point numbers are written as their bits
-// and byte strings in hexadecimal.
+// and byte strings in hexadecimal. The label load precedes the number of load values, and the label list precedes the
+// number of entries of a node list; the values and the entries follow these numbers.
 func describeEvent(event *simproto.Event) string {
 	var text strings.Builder
 	bits := func(value placer.Seconds) uint64 { return math.Float64bits(float64(value)) }
--- a/internal/simbridge/simproto/reader.go
+++ b/internal/simbridge/simproto/reader.go
@@ -12,7 +12,7 @@
 
 const (
 	headerBytes          = 20
-	uncountedHeaderBytes = 8 // The batch number and the length field itself are not included in the length.
+	uncountedHeaderBytes = 8 // The length in a batch header does not include the batch number and the length field.
 	minRecordBytes       = 5
 	nodeEntryBytes       = 31
 	nodeAddressBytes     = 6
@@ -97,7 +97,7 @@
 		event.ListNumber = r.readU8()
 		event.Entries = r.readNodeList()
 		if r.err == nil && event.ListNumber >= MaxNodeLists {
-			r.err = fmt.Errorf("simproto: list number %d at byte %d exceeds the maximum %d", event.ListNumber, start, MaxNodeLists-1)
+			r.err = fmt.Errorf("simproto: node list number %d at byte %d exceeds the maximum %d", event.ListNumber, start, MaxNodeLists-1)
 		}
 		return r.err
 	}
@@ -159,7 +159,7 @@
 	return true
 }
 
-// readNodeList reads the entries of a node list. The result is valid until the next call.
+// readNodeList reads the entries of a node list. The result is valid until the next call of readNodeList.
 func (r *Reader) readNodeList() []NodeEntry {
 	count := r.readU32()
 	if r.err == nil && uint64(count)*nodeEntryBytes > uint64(r.RemainingBytes()) {
@@ -184,7 +184,7 @@
 	return r.nodeEntries
 }
 
-// readLoadReport reads the values of a load report. The result is valid until the next call.
+// readLoadReport reads the values of a load report. The result is valid until the next call of readLoadReport.
 func (r *Reader) readLoadReport() []float32 {
 	count := int(r.readU8())
 	r.loadValues = r.loadValues[:0]
@@ -200,7 +200,7 @@
 		return nil
 	}
 	if count < 0 || count > r.RemainingBytes() {
-		r.err = fmt.Errorf("simproto: record with event code %d needs %d bytes at byte %d, only %d remain", r.recordCode, count, r.offset, r.RemainingBytes())
+		r.err = fmt.Errorf("simproto: record with event code %d needs %d bytes at byte %d of the batch, but only %d remain", r.recordCode, count, r.offset, r.RemainingBytes())
 		return nil
 	}
 	start := r.offset
--- a/internal/simbridge/simproto/simproto.go
+++ b/internal/simbridge/simproto/simproto.go
@@ -1,7 +1,7 @@
 // Package simproto reads batches of events and writes replies in the binary protocol of the simulator. All numbers are
 // little endian, and all times are floating point numbers of seconds. The package only encodes and decodes records.
-// Package simadapter, which calls it, translates the events and actions for the placer. Reader.Next and Writer.Start
-// are the entry points.
+// Package simadapter calls this package and translates the events and actions for the placer. Reader.Next and
+// Writer.Start are the entry points.
 //
 // A batch consists of a header and event records. The header has four fields: the batch number (4 bytes), the number of
 // bytes that follow this length field (4 bytes), the number of records (4 bytes) and the clock time (8 bytes).
@@ -62,10 +62,10 @@
 	ListChanges ListKind = 4
 )
 
-// Status is the outcome of an attempt.
+// Status is the outcome of an attempt or of a health check.
 type Status uint16
 
-// The outcomes of an attempt have these values in the protocol.
+// The outcomes of attempts and health checks have these values in the protocol.
 const (
 	StatusFinished    Status = 0
 	StatusExpired     Status = 249
@@ -80,7 +80,7 @@
 // NodeState is the state of a node in an entry of a node list.
 type NodeState uint8
 
-// A node whose state has any other value has terminated.
+// The states of a node have these values in the protocol. Any other value means that the node has terminated.
 const (
 	NodeReady    NodeState = 1
 	NodeDraining NodeState = 2
--- a/internal/simbridge/simproto/simproto_test.go
+++ b/internal/simbridge/simproto/simproto_test.go
@@ -105,7 +105,7 @@
 	body := bytes.Join(actions, nil)
 	want := append(simwire.Record(uint32(7), uint32(len(actions)), uint32(len(body))), body...)
 	if got := writer.Finish(); !bytes.Equal(got, want) {
-		t.Errorf("reply with one record of each action\n got %x\nwant %x", got, want)
+		t.Errorf("reply with one record of each action:\n got %x\nwant %x", got, want)
 	}
 }
 
@@ -120,17 +120,17 @@
 		input     []byte
 		wantError string
 	}{
-		"truncated batch header":           {validBatch[:9], "read batch header"},
-		"truncated batch body":             {validBatch[:len(validBatch)-3], "ends early"},
-		"batch length below header length": {withUint32At(4, 3), "does not cover the header"},
-		"more records than bytes":          {withUint32At(8, 1e9), "do not fit"},
-		"batch length beyond the input":    {withUint32At(4, math.MaxUint32), "ends early"},
-		"unknown event code":               {simwire.Batch(7, 1, simwire.Record(uint8(99), uint32(5))), "unknown event code 99"},
-		"node list longer than the batch":  {simwire.Batch(7, 1, simwire.Record(uint8(16), uint8(1), uint32(1<<30))), "does not fit"},
-		"list number above the maximum":    {simwire.Batch(7, 1, simwire.Record(uint8(16), uint8(16), uint32(0))), "exceeds the maximum 15"},
-		"truncated record":                 {simwire.Batch(7, 1, simwire.Record(uint8(22), uint32(5), uint8(1))), "needs 8 bytes"},
-		"settings longer than the batch":   {simwire.Batch(7, 1, simwire.Record(uint8(19), uint32(5), uint64(1), uint32(1<<31))), "needs"},
-		"clock time is not a number":       {simwire.Batch(7, math.NaN()), "clock time NaN is not finite"},
+		"truncated batch header":            {validBatch[:9], "read batch header"},
+		"truncated batch body":              {validBatch[:len(validBatch)-3], "ends early"},
+		"batch length below header length":  {withUint32At(4, 3), "does not cover the header"},
+		"record count too large for length": {withUint32At(8, 1e9), "do not fit"},
+		"batch length beyond the input":     {withUint32At(4, math.MaxUint32), "ends early"},
+		"unknown event code":                {simwire.Batch(7, 1, simwire.Record(uint8(99), uint32(5))), "unknown event code 99"},
+		"node list longer than the batch":   {simwire.Batch(7, 1, simwire.Record(uint8(16), uint8(1), uint32(1<<30))), "does not fit"},
+		"list number above the maximum":     {simwire.Batch(7, 1, simwire.Record(uint8(16), uint8(16), uint32(0))), "exceeds the maximum 15"},
+		"record shorter than its fields":    {simwire.Batch(7, 1, simwire.Record(uint8(22), uint32(5), uint8(1))), "needs 8 bytes"},
+		"settings text beyond the batch":    {simwire.Batch(7, 1, simwire.Record(uint8(19), uint32(5), uint64(1), uint32(1<<31))), "needs"},
+		"clock time is not a number":        {simwire.Batch(7, math.NaN()), "clock time NaN is not finite"},
 	} {
 		reader := NewReader(bytes.NewReader(testCase.input))
 		batch, err := reader.Next()
--- a/internal/simbridge/simproto/writer.go
+++ b/internal/simbridge/simproto/writer.go
@@ -9,7 +9,7 @@
 
 const replyHeaderBytes = 12
 
-// watchWithChanges is the value of the field of ActionWatchNodes that requests the list and all later changes.
+// watchWithChanges is the last byte of an ActionWatchNodes record. It requests the node list and all later changes of the list.
 const watchWithChanges = 1
 
 // Writer builds one reply at a time. Start begins the reply, the methods named after actions add records to it, and
@@ -71,7 +71,7 @@
 // ListNodes requests the node list once.
 func (w *Writer) ListNodes(instance uint32) { w.beginAction(ActionListNodes, instance) }
 
-// Migrate stops a bound task. The client then requests the task again.
+// Migrate requests that a bound task be stopped. The client then requests the task again.
 func (w *Writer) Migrate(instance uint32, taskID uint64) {
 	w.beginAction(ActionMigrate, instance)
 	w.writeU64(taskID)
