--- a/internal/simbridge/simadapter/characterization_test.go
+++ b/internal/simbridge/simadapter/characterization_test.go
@@ -1,8 +1,9 @@
 package simadapter_test
 
 // These characterization tests detect changes in the replies of the adapter. A fake simulator reads each reply, executes
-// its actions and builds the next batch from the results. A running SHA-256 digest covers all bytes of all replies; the
-// first checkpoint that differs shows between which batches a change occurred. Package goldentest documents how golden
+// its actions and builds the next batch from the results. The golden file of a run consists of checkpoints. A checkpoint is
+// a line with the number of replies, the numbers of actions by kind and a SHA-256 digest of all replies up to that point.
+// The first checkpoint that differs shows between which batches a change occurred. Package goldentest documents how golden
 // files are compared and written.
 
 import (
@@ -22,8 +23,8 @@
 	"heathshed/internal/testsupport/simwire"
 )
 
-// With pushDiscoverySettings, discovery pushes node lists. With consolidatingSettings, the scheduler polls node lists, and each node
-// in use has a cost. The node lists contain the free capacity in both cases.
+// With pushDiscoverySettings, discovery pushes node lists. With consolidatingSettings, the scheduler polls node lists, and
+// each node in use has a cost. The node lists contain the free capacity in both cases.
 const (
 	pushDiscoverySettings = `{"discovery":"push","me":0,"myZone":0,"peersTotal":2,
  "extra":{"admitMemory":1.5,"apartBy":["none","cell"],"classKind":[-1,-1],"coresByKind":[8,16],"counts":"used","cpuBooking":2,
@@ -96,7 +97,7 @@
 		}
 	}
 	if sim.batchNumber%10 == 1 {
-		records = append(records, sim.nodeListRecord(), sim.nodesListedRecord(0), sim.nodesListedRecord(1))
+		records = append(records, sim.defineListRecord(), sim.nodesListedRecord(0), sim.nodesListedRecord(1))
 	}
 	stillPending := sim.scheduled[:0]
 	for _, pending := range sim.scheduled {
@@ -119,9 +120,9 @@
 // nodeAddress returns the address of the node with the given index.
 func nodeAddress(i int) [6]byte { return [6]byte{10, 0, byte(i / 5), byte(i), 1, 2} }
 
-// nodeListRecord returns a record that defines node list 2 with twenty nodes. Some nodes are draining, terminated or
-// started shortly before.
-func (sim *fakeSimulator) nodeListRecord() []byte {
+// defineListRecord returns an EventDefineList record, which defines node list 2 with twenty nodes. Some of the nodes are
+// draining, have terminated or started 0.5 s ago.
+func (sim *fakeSimulator) defineListRecord() []byte {
 	var entries []byte
 	const count = 20
 	for i := range count {
@@ -139,7 +140,7 @@
 	return append(simwire.Record(uint8(16), uint8(2), uint32(count)), entries...)
 }
 
-// nodesListedRecord returns a record that passes node list 2 to the instance as a list of a random kind.
+// nodesListedRecord returns an EventNodesListed record, which passes node list 2 to the instance as a list of a random kind.
 func (sim *fakeSimulator) nodesListedRecord(instance uint32) []byte {
 	listKinds := []uint8{0, 1, 2, 4, 4, 4}
 	return simwire.Record(uint8(26), instance, listKinds[sim.rng.IntN(len(listKinds))], sim.batchNumber, uint8(2))
@@ -177,12 +178,14 @@
 	}
 }
 
-// schedule schedules a record to be sent after the given delay.
+// schedule makes the fake simulator send a record after the given delay.
 func (sim *fakeSimulator) schedule(delaySeconds float64, record []byte) {
 	sim.scheduled = append(sim.scheduled, scheduledRecord{sim.now + delaySeconds, record})
 }
 
-// Write receives one reply, executes its actions and adds a checkpoint at regular intervals.
+// Write receives one reply and executes its actions. Every batchesPerCheckpoint replies, it adds a checkpoint to the text
+// for the golden file. In that text, an offer is a StartAttempt action, a refusal is a Reject action, and a move is a
+// Migrate action.
 func (sim *fakeSimulator) Write(reply []byte) (int, error) {
 	sim.digest.Write(reply)
 	sim.replyCount++
@@ -194,7 +197,8 @@
 	return len(reply), nil
 }
 
-// executeActions reads the actions of a reply and schedules the event records that result from them.
+// executeActions reads the actions of a reply and schedules the event records that result from them. The numbers in its
+// cases are the action codes of package simproto.
 func (sim *fakeSimulator) executeActions(actions []byte) {
 	for len(actions) > 0 {
 		code, instance := actions[0], binary.LittleEndian.Uint32(actions[1:])
@@ -271,6 +275,7 @@
 	if simulator.actionError != nil {
 		t.Fatal(simulator.actionError)
 	}
+	// The last line of the golden file contains the number of warnings and the SHA-256 digest of their text.
 	fmt.Fprintf(&simulator.checkpoints, "problems %d %x\n", bytes.Count(warnings.Bytes(), []byte("\n")), sha256.Sum256(warnings.Bytes()))
 	goldentest.CheckText(t, "run", simulator.checkpoints.String())
 }
--- a/internal/simbridge/simadapter/equivalence_drivers_test.go
+++ b/internal/simbridge/simadapter/equivalence_drivers_test.go
@@ -12,8 +12,8 @@
 	"heathshed/placer"
 )
 
-// These values repeat numbers of the simulator's protocol instead of using the constants of package simproto. The tests
-// fail if those constants change.
+// These constants repeat numbers of the simulator's protocol instead of using the constants of package simproto. As a
+// consequence, the tests fail if a constant of package simproto changes.
 const (
 	wireStatusCancelled = 250
 	wireStatusLost      = 251
@@ -24,7 +24,8 @@
 	wireNodeStateReady  = 1
 )
 
-// recordingPlacer passes the events of the dispatch core to a placer and records them with the resulting actions.
+// recordingPlacer passes the events of the dispatch core to a placer and records the events and the resulting actions. The
+// dispatch core is dispatch.Core, the state machine of a scheduler that runs outside the simulator.
 type recordingPlacer struct {
 	placer      *placer.Placer
 	events      []string
@@ -54,7 +55,8 @@
 	return actions
 }
 
-// driverPair sends the same events to the simulator's adapter and to the dispatch core, which each drive a placer.
+// driverPair holds the two drivers of a placer: the adapter for the simulator, and the dispatch core of the platform, which
+// is the system outside the simulator. The tests send both drivers the same events.
 type driverPair struct {
 	t                *testing.T
 	adapter          *adapter
@@ -87,14 +89,15 @@
 	drivers.adapterActions = append(drivers.adapterActions, drivers.adapter.actions...)
 }
 
-// compareAndReset prepares the attempts that the dispatch core wants to send, compares the recorded events and actions of both
-// drivers, and then clears these records.
+// compareAndReset compares the recorded events and actions of both drivers and then clears them. Before the comparison, it
+// calls PrepareSend for the attempts that the dispatch core wants to send. The platform's server does this before it sends
+// an attempt to a node.
 func (drivers *driverPair) compareAndReset(step string) {
 	drivers.t.Helper()
 	for _, effect := range drivers.core.Ready() {
 		if effect.Kind == dispatch.SendAttempt {
 			if !drivers.core.PrepareSend(drivers.now, effect.Attempt) {
-				drivers.t.Fatalf("%s: dispatch core refused to send a ready attempt", step)
+				drivers.t.Fatalf("%s: PrepareSend of the dispatch core returned false for an attempt that is ready to be sent", step)
 			}
 			drivers.platformAttempts[uint64(effect.Attempt.Message.ID)] = effect.Attempt
 		}
@@ -113,7 +116,7 @@
 	drivers.adapterEvents, drivers.recorder.events, drivers.adapterActions, drivers.recorder.actions = nil, nil, nil, nil
 }
 
-// advance advances the time and fires the due timers of both drivers.
+// advance sets the time of both drivers to the argument until and fires the timers that are due by then.
 func (drivers *driverPair) advance(until placer.Seconds) {
 	drivers.t.Helper()
 	for drivers.core.NextTimer() <= until {
@@ -131,13 +134,13 @@
 				delete(drivers.pendingStarts, id)
 			}
 		}
-		drivers.compareAndReset(fmt.Sprintf("timers at %v s", drivers.now))
+		drivers.compareAndReset(fmt.Sprintf("timers that fired at %v s", drivers.now))
 	}
 	drivers.now = until
 }
 
-// completeAttemptEvent sets the task, attempt, node and elapsed time of the simulator's event for the pending attempt of a
-// task. An event without a code becomes EventAttemptEnded.
+// completeAttemptEvent returns the simulator's event with the task, attempt, node and elapsed time of the pending attempt for
+// the task with the given ID. An event without a code becomes EventAttemptEnded.
 func (drivers *driverPair) completeAttemptEvent(id uint64, event simproto.Event) simproto.Event {
 	started := drivers.pendingStarts[id]
 	if event.Code == 0 {
--- a/internal/simbridge/simadapter/equivalence_test.go
+++ b/internal/simbridge/simadapter/equivalence_test.go
@@ -63,13 +63,13 @@
 	return protocol.Message{Kind: protocol.Stop, Cause: cause, HasCause: true}
 }
 
-// bindAttempt makes the node accept the attempt for a task and report the usage of the task. If finishes is set, the node
+// bindAttempt makes the node accept the attempt for a task and report the usage of the task. If finishes is true, the node
 // then reports the end of the task.
 func (drivers *driverPair) bindAttempt(id uint64, finishes bool) {
 	drivers.t.Helper()
 	drivers.sendFromNode(id, protocol.Message{Kind: protocol.Running, Body: `"y"`})
 	drivers.sendToAdapter(drivers.completeAttemptEvent(id, simproto.Event{Code: simproto.EventAttemptBound}))
-	drivers.compareAndReset("acceptance of the attempt")
+	drivers.compareAndReset("acceptance of the attempt by the node")
 	update := withField(protocol.Message{Kind: protocol.Update}, protocol.Note, "cpu")
 	drivers.sendFromNode(id, withField(update, protocol.Value, "0.75"))
 	usage := drivers.completeAttemptEvent(id, simproto.Event{Code: simproto.EventUsageReported, UsageKind: 2, Value: 0.75})
@@ -80,8 +80,9 @@
 	}
 }
 
-// A placer that is tested in the simulator must receive the same events on the platform. The test applies the same requests,
-// answers, failures and timeouts to both drivers, and fails at the first step whose events or actions differ.
+// Results from the simulator apply to the platform, the system outside the simulator, only if the placer receives the same
+// events in both. The test applies the same requests, answers, failures and timeouts to both drivers of a placer, and fails
+// at the first step whose events or actions differ.
 func TestSimulatorAndPlatformGiveThePlacerTheSameEvents(t *testing.T) {
 	drivers := newDriverPair(t)
 	outcomes := map[int]func(id uint64) simproto.Event{
@@ -127,7 +128,7 @@
 	}
 	counts := drivers.core.Counts
 	if counts.TimedOut == 0 || counts.CapacityRejections == 0 || counts.Bound < 5 {
-		t.Fatalf("counts of outcomes %+v: want a timeout, a capacity rejection and at least 5 bound tasks", counts)
+		t.Fatalf("got counts %+v of attempt outcomes, want a timeout, a capacity rejection and at least 5 bound tasks", counts)
 	}
 }
 
--- a/internal/simbridge/simadapter/simadapter.go
+++ b/internal/simbridge/simadapter/simadapter.go
@@ -21,7 +21,7 @@
 	instances map[uint32]*instance
 	nodeLists [simproto.MaxNodeLists][]placer.Node
 	writer    simproto.Writer
-	actions   []placer.Action // The buffer is reused for each event.
+	actions   []placer.Action // actions is a buffer that is reused for each event.
 	warnings  io.Writer
 }
 
@@ -74,7 +74,7 @@
 	case simproto.EventInstanceStart:
 		newTarget, err := newInstance(record)
 		if err != nil {
-			return fmt.Errorf("instance %d: %w", record.Instance, err)
+			return fmt.Errorf("scheduler instance %d: %w", record.Instance, err)
 		}
 		a.instances[record.Instance] = newTarget
 		return nil
@@ -144,7 +144,7 @@
 type instance struct {
 	placer       *placer.Placer
 	reportFields []string      // reportFields holds the names of the values of a load report.
-	loadReport   placer.Report // The report is reused for each event.
+	loadReport   placer.Report // loadReport is reused for each event.
 }
 
 // newInstance creates a scheduler instance with the settings and the random seed of the record.
--- a/internal/simbridge/simadapter/simadapter_test.go
+++ b/internal/simbridge/simadapter/simadapter_test.go
@@ -21,7 +21,7 @@
  "rules":{"answerSlackS":0.01,"askWithinS":9,"fallS":1,"warmWithinS":8}}`
 
 // testSettingsWithNames extends testSettings by the names of task classes, tenants, zones and node types. The settings of a
-// scheduler on the platform contain these names.
+// scheduler that runs outside the simulator contain these names.
 var testSettingsWithNames = strings.NewReplacer(`"discovery":"push"`, `"discovery":"push","flavors":["small","large"],"zones":["a","b"],
  "orgs":[{"name":"north"},{"name":"south"}]`, `{"effect":"idempotent"`, `{"name":"query","effect":"idempotent"`,
 	`{"effect":"dedup`, `{"name":"seats","effect":"dedup`).Replace(testSettings)
@@ -31,8 +31,8 @@
 // testInstance is the number of the scheduler instance that the tests start.
 const testInstance = uint32(4)
 
-// instanceStartRecords returns records that start the test instance and give it a list of one node, followed by the
-// further records.
+// instanceStartRecords returns records that start the scheduler instance testInstance and give it a list of one node. The
+// records in the argument further follow them.
 func instanceStartRecords(settings string, further ...[]byte) [][]byte {
 	return append([][]byte{
 		simwire.Record(uint8(19), testInstance, uint64(9), uint32(len(settings)), []byte(settings)),
@@ -65,7 +65,7 @@
 	}
 	want := string(simwire.Record(uint8(86), uint32(4), uint64(77)))
 	if !strings.Contains(out, want) || !strings.HasSuffix(out, string(testNodeAddress[:])) {
-		t.Fatalf("reply %x contains no attempt to start task 77 on the only node", out)
+		t.Fatalf("reply %x must contain an attempt to start task 77 and end with the address of the only node", out)
 	}
 }
 
@@ -81,7 +81,7 @@
 		simwire.Record(uint8(25), uint32(4), uint64(3), uint8(9), 0.1, testNodeAddress), // The attempt does not exist.
 		arrivalRecord(4, 77))...)
 	if err != nil || reply != wantReply || !strings.Contains(warnings, "has not begun") {
-		t.Fatalf("reply with unmatched events: error %v, same as without them %v, warnings %q; want the same reply and a warning", err, reply == wantReply, warnings)
+		t.Fatalf("reply with unmatched events: error %v, same reply as without these events %v, warnings %q; want the same reply and a warning", err, reply == wantReply, warnings)
 	}
 }
 
@@ -93,17 +93,17 @@
 		input     []byte
 		wantError string
 	}{
-		"settings are not JSON":              {startBatch("{"), "settings"},
-		"unknown task effect":                {startBatch(strings.Replace(testSettings, "idempotent", "maybe", 1)), "lanes[0].effect"},
-		"unknown spread domain":              {startBatch(strings.Replace(testSettings, `"none","cell"`, `"moon"`, 1)), "apartBy[0]"},
-		"fewer memory sizes than node types": {startBatch(strings.Replace(testSettings, `"kindMemory":[16,32]`, `"kindMemory":[16]`, 1)), "kindMemory"},
-		"zero attempts allowed":              {startBatch(strings.Replace(testSettings, `"mostTries":3`, `"mostTries":0`, 1)), "attempts 0"},
-		"unknown list kind":                  {startBatch(testSettings, simwire.Record(uint8(26), uint32(4), uint8(9), uint32(1), uint8(0))), "unknown list kind 9"},
-		"bytes after the last record":        {simwire.BatchOfCount(1, 10, 2, instanceStartRecords(testSettings)...), "follow the last"},
+		"settings are not JSON":                {startBatch("{"), "settings"},
+		"unknown idempotency in key effect":    {startBatch(strings.Replace(testSettings, "idempotent", "maybe", 1)), "lanes[0].effect"},
+		"unknown spread domain in key apartBy": {startBatch(strings.Replace(testSettings, `"none","cell"`, `"moon"`, 1)), "apartBy[0]"},
+		"fewer memory sizes than node types":   {startBatch(strings.Replace(testSettings, `"kindMemory":[16,32]`, `"kindMemory":[16]`, 1)), "kindMemory"},
+		"maximum of zero attempts":             {startBatch(strings.Replace(testSettings, `"mostTries":3`, `"mostTries":0`, 1)), "maximum number of attempts 0 must be at least 1"},
+		"unknown list kind":                    {startBatch(testSettings, simwire.Record(uint8(26), uint32(4), uint8(9), uint32(1), uint8(0))), "unknown list kind 9"},
+		"bytes after the last record":          {simwire.BatchOfCount(1, 10, 2, instanceStartRecords(testSettings)...), "follow the last"},
 	} {
 		out, _, err := runInput(testCase.input)
 		if err == nil || !strings.Contains(err.Error(), testCase.wantError) || out != "" {
-			t.Errorf("%s: got error %v and %d bytes of replies, want a matching error and no reply", name, err, len(out))
+			t.Errorf("%s: got error %v and %d bytes of replies, want the error for this input and no reply", name, err, len(out))
 		}
 	}
 	if out, _, err := runInput(nil); err != nil || out != "" {
--- a/internal/simbridge/simadapter/translate.go
+++ b/internal/simbridge/simadapter/translate.go
@@ -57,7 +57,7 @@
 		return kind, nil, fmt.Errorf("unknown list kind %d", record.ListKind)
 	}
 	if int(record.ListNumber) >= len(lists) {
-		return kind, nil, fmt.Errorf("list number %d exceeds the maximum %d", record.ListNumber, len(lists)-1)
+		return kind, nil, fmt.Errorf("node list number %d exceeds the maximum %d", record.ListNumber, len(lists)-1)
 	}
 	return kind, lists[record.ListNumber], nil
 }
@@ -117,12 +117,12 @@
 	case simproto.StatusExpired:
 		return placer.Expired, nil
 	}
-	return 0, fmt.Errorf("unknown outcome %d of an attempt", status)
+	return 0, fmt.Errorf("unknown status %d of an attempt", status)
 }
 
 // parseLoadReport returns the load report with the given values, which are in the order of the report fields in the
 // settings. It ignores values beyond the last field and returns nil if there are no values. The result is valid until
-// the next call.
+// the next call of parseLoadReport.
 func (inst *instance) parseLoadReport(values []float32) *placer.Report {
 	if len(values) == 0 {
 		return nil
