--- a/internal/simbridge/simadapter/characterization_test.go
+++ b/internal/simbridge/simadapter/characterization_test.go
@@ -164,7 +164,7 @@
 }
 
 // unmatchedRecords returns records for scheduler instances, tasks and timers that do not exist, records with event codes
-// that the adapter does not use, and the start and stop of another instance.
+// that the adapter does not use, and the start and stop of scheduler instance 5.
 func (sim *fakeSimulator) unmatchedRecords() [][]byte {
 	address := nodeAddress(3)
 	return [][]byte{
@@ -230,8 +230,8 @@
 	}
 }
 
-// scheduleAttemptOutcome schedules a random outcome of an attempt. The action does not contain the attempt number, so
-// outcomes of an attempt that is not bound are scheduled for four attempt numbers.
+// scheduleAttemptOutcome schedules a random outcome of an attempt. A StartAttempt action does not contain the number of the
+// attempt. For this reason, an attempt that is not bound gets one outcome for each of four attempt numbers.
 func (sim *fakeSimulator) scheduleAttemptOutcome(instance uint32, taskID uint64, node [6]byte) {
 	statuses := []uint16{0, 255, 254, 254, 253, 252, 251, 250, 249}
 	scheduleEnd := func(delaySeconds float64, attempt int) {
--- a/internal/simbridge/simadapter/equivalence_drivers_test.go
+++ b/internal/simbridge/simadapter/equivalence_drivers_test.go
@@ -66,7 +66,7 @@
 	adapterEvents    []string // adapterEvents holds the events that the adapter translated.
 	adapterActions   []placer.Action
 	platformAttempts map[uint64]*dispatch.Attempt // platformAttempts holds the attempts of the dispatch core by task ID.
-	pendingStarts    map[uint64]placer.Action
+	pendingStarts    map[uint64]placer.Action     // pendingStarts holds, by task ID, the actions whose attempts are pending.
 }
 
 // sendToAdapter sends an event to the adapter and records the translated event and the resulting actions.
--- a/internal/simbridge/simadapter/equivalence_test.go
+++ b/internal/simbridge/simadapter/equivalence_test.go
@@ -85,19 +85,24 @@
 // at the first step whose events or actions differ.
 func TestSimulatorAndPlatformGiveThePlacerTheSameEvents(t *testing.T) {
 	drivers := newDriverPair(t)
+	// Each of these functions gives an attempt one outcome on the platform and returns the simulator's event for that outcome.
 	outcomes := map[int]func(id uint64) simproto.Event{
+		// The node rejects the attempt because it has too little free memory.
 		3: func(id uint64) simproto.Event {
 			drivers.sendFromNode(id, withField(withField(stopMessage(34), protocol.Note, "mem_full"), protocol.LoadReport, "x1:0.25;utilization:1"))
 			return simproto.Event{Status: wireStatusRejected, Reason: 2, LoadValues: []float32{0.25, 1}}
 		},
+		// The node reports that the attempt failed.
 		4: func(id uint64) simproto.Event {
 			drivers.sendFromNode(id, stopMessage(47))
 			return simproto.Event{Status: wireStatusErrored}
 		},
+		// The connection to the node is lost during the attempt.
 		5: func(id uint64) simproto.Event {
 			drivers.core.ConnectionLost(drivers.now, drivers.platformAttempts[id])
 			return simproto.Event{Status: wireStatusLost}
 		},
+		// The client withdraws the task during the attempt.
 		6: func(id uint64) simproto.Event {
 			message := stopMessage(16)
 			message.ID, message.UID = protocol.ID(id), fmt.Sprintf("%016x", id)
--- a/internal/simbridge/simadapter/simadapter_test.go
+++ b/internal/simbridge/simadapter/simadapter_test.go
@@ -126,7 +126,7 @@
 	class := config.Classes[1]
 	if class.Idempotency != placer.IdempotentByKey || class.DedupDomain != placer.RackDomain || class.DedupWindow != 3 ||
 		class.SpreadDomain != placer.RackDomain || class.MaxPerDomain != 2 {
-		t.Errorf("got second task class %+v, want deduplication and spread by rack as in testSettings", class)
+		t.Errorf("got second task class %+v, want deduplication by rack for 3 s, and spread by rack with at most 2 tasks per rack", class)
 	}
 	if config.Classes[0].SpreadDomain != placer.NoDomain || config.NodeTypes[1].Memory != 32 || len(reportFields) != 2 {
 		t.Errorf("got settings %+v, want no spread domain for the first task class, memory 32 for the second node type and 2 report fields", settings)
@@ -145,6 +145,6 @@
 	testAdapter.handlePlacerEvent(10, testInstance, &instance{}, placer.Event{Kind: placer.Arrived})
 	reply := string(testAdapter.writer.Finish())
 	if reply[12] != 90 || !strings.Contains(reply, "panic") {
-		t.Fatalf("reply %x does not report the panic", reply)
+		t.Fatalf("reply %x must contain code 90 (ReportPanic) at byte 12 and a text with the word panic", reply)
 	}
 }
--- a/internal/simbridge/simproto/reader.go
+++ b/internal/simbridge/simproto/reader.go
@@ -26,9 +26,9 @@
 	body        []byte // body holds the records of the current batch.
 	offset      int    // offset is the position of the next unread byte in body.
 	recordCode  EventCode
-	err         error // err is the first error in the current batch; it stops all further reading of that batch.
-	loadValues  []float32
-	nodeEntries []NodeEntry
+	err         error       // err is the first error in the current batch; it stops all further reading of that batch.
+	loadValues  []float32   // loadValues is the buffer for Event.LoadValues.
+	nodeEntries []NodeEntry // nodeEntries is the buffer for Event.Entries.
 }
 
 // NewReader returns a Reader that reads from input.
--- a/internal/simbridge/simproto/writer.go
+++ b/internal/simbridge/simproto/writer.go
@@ -41,8 +41,8 @@
 	w.writeNodeAddress(node)
 }
 
-// Reject answers the client that the task was not placed. If the duration is not 0, the client may request the task
-// again after it has passed.
+// Reject answers the client that the task was not placed. If the given duration is not 0, the client may request the task
+// again when that duration has passed.
 func (w *Writer) Reject(instance uint32, taskID uint64, after placer.Seconds) {
 	w.beginAction(ActionReject, instance)
 	w.writeU64(taskID)
@@ -113,7 +113,8 @@
 	w.reply = binary.LittleEndian.AppendUint16(w.reply, uint16(node>>32))
 }
 
-// writeText writes the length of a text as 2 bytes and then the text, truncated to the maximum of the length field.
+// writeText writes the length of a text as 2 bytes and then the text. A text is truncated to 65535 bytes, the maximum
+// that 2 bytes can express.
 func (w *Writer) writeText(text string) {
 	text = text[:min(len(text), math.MaxUint16)]
 	w.reply = binary.LittleEndian.AppendUint16(w.reply, uint16(len(text)))
