--- a/internal/simbridge/simadapter/equivalence_test.go
+++ b/internal/simbridge/simadapter/equivalence_test.go
@@ -63,13 +63,13 @@
 	return protocol.Message{Kind: protocol.Stop, Cause: cause, HasCause: true}
 }
 
-// bindAttempt makes the node accept the attempt for a task and report the usage of the task. If finishes is set, the node
+// bindAttempt makes the node accept the attempt for a task and report the usage of the task. If finishes is true, the node
 // then reports the end of the task.
 func (drivers *driverPair) bindAttempt(id uint64, finishes bool) {
 	drivers.t.Helper()
 	drivers.sendFromNode(id, protocol.Message{Kind: protocol.Running, Body: `"y"`})
 	drivers.sendToAdapter(drivers.completeAttemptEvent(id, simproto.Event{Code: simproto.EventAttemptBound}))
-	drivers.compareAndReset("acceptance of the attempt")
+	drivers.compareAndReset("acceptance of the attempt by the node")
 	update := withField(protocol.Message{Kind: protocol.Update}, protocol.Note, "cpu")
 	drivers.sendFromNode(id, withField(update, protocol.Value, "0.75"))
 	usage := drivers.completeAttemptEvent(id, simproto.Event{Code: simproto.EventUsageReported, UsageKind: 2, Value: 0.75})
@@ -80,23 +80,29 @@
 	}
 }
 
-// A placer that is tested in the simulator must receive the same events on the platform. The test applies the same requests,
-// answers, failures and timeouts to both drivers, and fails at the first step whose events or actions differ.
+// Results from the simulator apply to the platform, the system outside the simulator, only if the placer receives the same
+// events in both. The test applies the same requests, answers, failures and timeouts to both drivers of a placer, and fails
+// at the first step whose events or actions differ.
 func TestSimulatorAndPlatformGiveThePlacerTheSameEvents(t *testing.T) {
 	drivers := newDriverPair(t)
+	// Each of these functions gives an attempt one outcome on the platform and returns the simulator's event for that outcome.
 	outcomes := map[int]func(id uint64) simproto.Event{
+		// The node rejects the attempt because it has too little free memory.
 		3: func(id uint64) simproto.Event {
 			drivers.sendFromNode(id, withField(withField(stopMessage(34), protocol.Note, "mem_full"), protocol.LoadReport, "x1:0.25;utilization:1"))
 			return simproto.Event{Status: wireStatusRejected, Reason: 2, LoadValues: []float32{0.25, 1}}
 		},
+		// The node reports that the attempt failed.
 		4: func(id uint64) simproto.Event {
 			drivers.sendFromNode(id, stopMessage(47))
 			return simproto.Event{Status: wireStatusErrored}
 		},
+		// The connection to the node is lost during the attempt.
 		5: func(id uint64) simproto.Event {
 			drivers.core.ConnectionLost(drivers.now, drivers.platformAttempts[id])
 			return simproto.Event{Status: wireStatusLost}
 		},
+		// The client withdraws the task during the attempt.
 		6: func(id uint64) simproto.Event {
 			message := stopMessage(16)
 			message.ID, message.UID = protocol.ID(id), fmt.Sprintf("%016x", id)
@@ -127,7 +133,7 @@
 	}
 	counts := drivers.core.Counts
 	if counts.TimedOut == 0 || counts.CapacityRejections == 0 || counts.Bound < 5 {
-		t.Fatalf("counts of outcomes %+v: want a timeout, a capacity rejection and at least 5 bound tasks", counts)
+		t.Fatalf("got counts %+v of attempt outcomes, want a timeout, a capacity rejection and at least 5 bound tasks", counts)
 	}
 }
 
--- a/internal/simbridge/simproto/writer.go
+++ b/internal/simbridge/simproto/writer.go
@@ -9,7 +9,7 @@
 
 const replyHeaderBytes = 12
 
-// watchWithChanges is the value of the field of ActionWatchNodes that requests the list and all later changes.
+// watchWithChanges is the last byte of an ActionWatchNodes record. It requests the node list and all later changes of the list.
 const watchWithChanges = 1
 
 // Writer builds one reply at a time. Start begins the reply, the methods named after actions add records to it, and
@@ -41,8 +41,8 @@
 	w.writeNodeAddress(node)
 }
 
-// Reject answers the client that the task was not placed. If the duration is not 0, the client may request the task
-// again after it has passed.
+// Reject answers the client that the task was not placed. If the given duration is not 0, the client may request the task
+// again when that duration has passed.
 func (w *Writer) Reject(instance uint32, taskID uint64, after placer.Seconds) {
 	w.beginAction(ActionReject, instance)
 	w.writeU64(taskID)
@@ -71,7 +71,7 @@
 // ListNodes requests the node list once.
 func (w *Writer) ListNodes(instance uint32) { w.beginAction(ActionListNodes, instance) }
 
-// Migrate stops a bound task. The client then requests the task again.
+// Migrate requests that a bound task be stopped. The client then requests the task again.
 func (w *Writer) Migrate(instance uint32, taskID uint64) {
 	w.beginAction(ActionMigrate, instance)
 	w.writeU64(taskID)
@@ -113,7 +113,8 @@
 	w.reply = binary.LittleEndian.AppendUint16(w.reply, uint16(node>>32))
 }
 
-// writeText writes the length of a text as 2 bytes and then the text, truncated to the maximum of the length field.
+// writeText writes the length of a text as 2 bytes and then the text. A text is truncated to 65535 bytes, the maximum
+// that 2 bytes can express.
 func (w *Writer) writeText(text string) {
 	text = text[:min(len(text), math.MaxUint16)]
 	w.reply = binary.LittleEndian.AppendUint16(w.reply, uint16(len(text)))
