--- a/internal/platform/server/client_conn.go
+++ b/internal/platform/server/client_conn.go
@@ -110,10 +110,10 @@
 
 // handleLine parses one line from the client and passes the message to the dispatch core. If the line is not
 // a message, it returns an error, and the caller closes the client connection.
-func (c *clientConn) handleLine(line []byte) (lineCost, error) {
+func (c *clientConn) handleLine(line []byte) (lineAccounting, error) {
 	s := c.server
 	if err := protocol.Parse(line, &c.message); err != nil {
-		return countsTowardsLimit, err
+		return countsTowardsLineLimit, err
 	}
 	s.traceMessage("client>", uint64(c.id), c.conn.Peer(), &c.message)
 	adoptedBefore := s.core.Counts.Adopted
@@ -124,10 +124,10 @@
 		c.lastMessageAt = s.loop.Now()
 	}
 	if s.core.Counts.Adopted == adoptedBefore {
-		return countsTowardsLimit, nil
+		return countsTowardsLineLimit, nil
 	}
 	c.readPendingAdoptions()
-	return exemptFromLimit, nil
+	return exemptFromLineLimit, nil
 }
 
 // readPendingAdoptions makes the server read the client connection once more at the end of the current
@@ -187,8 +187,8 @@
 
 // isIdle reports whether the client connection may be closed as idle. The connection is idle if it is silent,
 // no request is open on it, and no request on it has ever led to a running task. However, the last client
-// connection is kept while tasks run. The server needs it to notify a client within a second of the end of
-// its task, and clients open a new connection only when they have a request to send.
+// connection is kept while tasks run. The server needs it to notify a client within a second after its task
+// has ended, and clients open a new connection only when they have a request to send.
 func (c *clientConn) isIdle(now clock.Instant) bool {
 	core := c.server.core
 	openRequests, hasPlacedTask := core.ClientRequests(c.id)
--- a/internal/platform/server/client_conn_test.go
+++ b/internal/platform/server/client_conn_test.go
@@ -43,7 +43,7 @@
 			line, err := client.reader.ReadString('\n')
 			unexpectedAnswer := strings.Contains(line, `"running"`) || err == nil && !strings.Contains(line, `"stop"`)
 			if elapsed := time.Since(startedAt); elapsed > 3*time.Second || unexpectedAnswer {
-				t.Errorf("the client that %s got an answer after %v: line %q and error %v, want a stop message or the end of the connection within 3 s",
+				t.Errorf("the client that %s got an answer after %v: line %q and error %v, want the server to send a stop message or close the client connection within 3 s",
 					name, elapsed, line, err)
 			}
 		}()
@@ -175,22 +175,22 @@
 	return server, client, waitFor(t, "the node to accept task 1", taskConns)
 }
 
-// TestNoNotificationOnClosingConnection checks that the server does not report the end of a task on a client
-// connection that it is closing. It must report the end on the next connection that the client opens.
+// TestNoNotificationOnClosingConnection checks that the server does not report on a client connection that it
+// is closing that a task has ended. It must report this on the next connection that the client opens.
 func TestNoNotificationOnClosingConnection(t *testing.T) {
 	server, invalidClient, nodeConn := startServerWithTask(t)
-	// After an invalid line, the server starts to close the client connection. The connection ends only when
-	// the client closes it as well, which the client does not do here.
+	// After an invalid line, the server starts to close the client connection. The connection stays open until
+	// the client closes it as well, which the client does not do in this test.
 	invalidClient.send("noise\n")
 	server.waitUntil("the server to receive the invalid line", func() bool { return server.stats.InvalidFromClients.Unreadable > 0 })
 	sendTo(t, nodeConn, stopMessage(1, 16))
-	server.waitUntil("the server to learn of the end of the task", func() bool { return server.core.RunningTasks() == 0 })
+	server.waitUntil("the server to learn that the task has ended", func() bool { return server.core.RunningTasks() == 0 })
 	nextClientConn := server.connect()
 	nextClientConn.send(healthCheckMessage)
 	nextClientConn.expectMessage(`"stop"`, "0000000000000001", `"reason":16`)
 	server.runOnLoop(func() {
 		if server.core.Counts.Redeliveries > 0 {
-			t.Error("the server reported the end of the task on the closing client connection, want a report only on the next client connection")
+			t.Error("the server reported on the closing client connection that the task has ended, want this report only on the next client connection")
 		}
 	})
 }
@@ -201,19 +201,20 @@
 func TestNotificationRedeliveredWhenClientCloses(t *testing.T) {
 	server, closingClient, nodeConn := startServerWithTask(t)
 	server.blockLoopDuring(func() {
-		// The node connection becomes ready before the client connection, so the event loop handles it first.
+		// The node connection becomes ready before the client connection, so the event loop first handles the
+		// node connection.
 		sendTo(t, nodeConn, stopMessage(1, 16))
 		closingClient.close()
 	}, nil)
-	server.waitUntil("the server to learn of the end of the task", func() bool { return server.core.RunningTasks() == 0 && len(server.clients.byID) == 0 })
+	server.waitUntil("the server to learn that the task has ended", func() bool { return server.core.RunningTasks() == 0 && len(server.clients.byID) == 0 })
 	nextClientConn := server.connect()
 	nextClientConn.send(healthCheckMessage)
 	nextClientConn.expectMessage(`"stop"`, "0000000000000001", `"reason":16`)
 }
 
 // TestLastClientConnectionIsKept checks that the only remaining client connection is not closed as idle while
-// a task runs. This holds even if the client has only requested an adoption or sent a health check on this
-// connection. The server must report the end of a task on it at once.
+// a task runs, even if the client has only requested an adoption or sent a health check on this connection.
+// When a task ends, the server must report this on the connection at once.
 func TestLastClientConnectionIsKept(t *testing.T) {
 	taskConns := make(chan net.Conn, 1)
 	node := startNode(t, acceptTaskAndSendConn(taskConns))
--- a/internal/platform/server/core_clock.go
+++ b/internal/platform/server/core_clock.go
@@ -69,8 +69,9 @@
 	return clock.Duration(timeout)
 }
 
-// maxIdle returns how long the server sends no request on a node connection before it closes the connection
-// as idle. It returns 0 if the server never closes node connections as idle.
+// maxIdle returns the time after which the server closes a node connection as idle. This time is counted from
+// the last request that the server sent on the connection. maxIdle returns 0 if the server never closes node
+// connections as idle.
 func (c *Config) maxIdle() time.Duration {
 	return clock.Duration(c.Settings.IdleTimeout * idleTimeoutFraction)
 }
--- a/internal/platform/server/discovery_test.go
+++ b/internal/platform/server/discovery_test.go
@@ -27,7 +27,7 @@
 	close(request.responseText) // The stream ends in the middle of event 3.
 	request = waitFor(t, "a request to the discovery server after the stream broke", server.discovery.requests)
 	if request.lastEventID != "2" || lastEvent() != 2 {
-		t.Fatalf("the request after the stream broke has Last-Event-ID %q, want 2, which must also be the last event of the server", request.lastEventID)
+		t.Fatalf("the request after the stream broke has Last-Event-ID %q, want 2; the last event that the server has received must also be 2", request.lastEventID)
 	}
 	request.responseText <- event4 // The stream skips event 3.
 	request = waitFor(t, "a request to the discovery server after the stream skipped an event", server.discovery.requests)
--- a/internal/platform/server/fixture_test.go
+++ b/internal/platform/server/fixture_test.go
@@ -247,8 +247,8 @@
 	}
 }
 
-// finishStopNow starts the final phase of a graceful stop at once. The server then behaves as if the stop had
-// been requested a second ago. finishStopNow must be called on the event loop.
+// finishStopNow starts the final phase of a graceful shutdown at once. The server then behaves as if the
+// shutdown had been requested a second ago. finishStopNow must be called on the event loop.
 func (server *testServer) finishStopNow() {
 	server.shutdown.requested = true
 	server.shutdown.requestedAt = server.loop.Now().Add(-time.Second)
--- a/internal/platform/server/lines.go
+++ b/internal/platform/server/lines.go
@@ -15,17 +15,17 @@
 // connections.
 const maxLinesPerIteration = 64
 
-// lineCost states whether a handled line counts towards maxLinesPerIteration.
-type lineCost uint8
+// lineAccounting states whether a handled line counts towards maxLinesPerIteration.
+type lineAccounting uint8
 
 const (
-	countsTowardsLimit lineCost = iota
-	exemptFromLimit
+	countsTowardsLineLimit lineAccounting = iota
+	exemptFromLineLimit
 )
 
 // lineHandler handles one line without its line feed. If it returns an error, the caller closes the
 // connection on which the line arrived.
-type lineHandler func(line []byte) (lineCost, error)
+type lineHandler func(line []byte) (lineAccounting, error)
 
 // lineReader reads lines from client and node connections. It limits the number of lines that are handled per
 // connection in one iteration of the event loop.
@@ -56,7 +56,7 @@
 		if conn.Closed() {
 			return consumedBytes, nil
 		}
-		if cost == countsTowardsLimit {
+		if cost == countsTowardsLineLimit {
 			handledLines++
 		}
 	}
--- a/internal/platform/server/node_conn.go
+++ b/internal/platform/server/node_conn.go
@@ -124,22 +124,22 @@
 // handleLine parses one line from the node. It records the answer to a health check, and passes any other
 // message to the dispatch core. If the line is not a message or is a message that nodes may not send, it
 // returns an error, and the caller closes the node connection.
-func (nc *nodeConn) handleLine(line []byte) (lineCost, error) {
+func (nc *nodeConn) handleLine(line []byte) (lineAccounting, error) {
 	s := nc.link.server
 	if err := protocol.Parse(line, &nc.message); err != nil {
-		return countsTowardsLimit, err
+		return countsTowardsLineLimit, err
 	}
 	kind := nc.message.Kind
 	if kind == protocol.Launch || kind == protocol.Check {
-		return countsTowardsLimit, errUnexpectedKind
+		return countsTowardsLineLimit, errUnexpectedKind
 	}
 	s.traceMessage("node>", uint64(nc.id), nc.conn.Peer(), &nc.message)
 	if kind == protocol.Checked {
 		nc.keepAlive.HealthCheckSent = 0
-		return countsTowardsLimit, nil
+		return countsTowardsLineLimit, nil
 	}
 	s.core.ReceiveFromNode(s.coreNow(), nc.link.id, &nc.message)
-	return countsTowardsLimit, nil
+	return countsTowardsLineLimit, nil
 }
 
 // removeAnsweredAttempts removes the attempts that no longer wait for an answer of the node.
--- a/internal/platform/server/node_link_test.go
+++ b/internal/platform/server/node_link_test.go
@@ -13,8 +13,8 @@
 )
 
 // TestTaskEndRedeliveredAfterCorruptMessage checks that the server connects to a node again after it has
-// closed the connection because of a corrupt message. A task runs on the node, and the node reports the end
-// of this task only on the second connection.
+// closed the connection because of a corrupt message. A task runs on the node, and the node reports only on
+// the second connection that this task has ended.
 func TestTaskEndRedeliveredAfterCorruptMessage(t *testing.T) {
 	var mu sync.Mutex
 	runningUID := "" // runningUID is the uid of the task on the node; the mutex mu guards it.
@@ -71,7 +71,7 @@
 			wantRunning := 0 // If a node refuses connections, the server assumes that its process and tasks have ended.
 			if failure == "dials to the node time out" {
 				listenUnresponsiveUntilCleanup(t, node.port())
-				wantRunning = 1 // The task may still run, so the server counts it until the node reports its end.
+				wantRunning = 1 // The task may still run, so the server counts it until the node reports that it has ended.
 			}
 			client.expectMessage(`"stop"`, `"reason":41`)
 			server.runOnLoop(func() {
@@ -86,7 +86,7 @@
 
 // TestUnresponsiveNodeReturns checks a node that returns after it was declared unresponsive. The client was
 // notified that its task is lost, but the task still runs on the node. The server must tell the node to stop
-// the task, and must count the task as running until the node reports the end of the task.
+// the task, and must count the task as running until the node reports that the task has ended.
 func TestUnresponsiveNodeReturns(t *testing.T) {
 	t.Parallel()
 	node, server, client := startServerWithUnresponsiveTimeout(t, 500*time.Millisecond)
@@ -96,7 +96,7 @@
 	client.expectMessage(`"stop"`, `"reason":41`)
 	server.runOnLoop(func() {
 		if runningTasks := server.core.RunningTasks(); runningTasks != 1 {
-			t.Errorf("the server counts %d running tasks before the node has reported the end of its task, want 1", runningTasks)
+			t.Errorf("the server counts %d running tasks before the node has reported that its task has ended, want 1", runningTasks)
 		}
 	})
 	stopListening()
@@ -114,7 +114,7 @@
 		t.Fatalf("the node got line %q and error %v, want a stop message for task 1", line, err)
 	}
 	sendTo(t, conn, stopMessage(1, 31))
-	server.waitUntil("the server to learn of the end of the task", func() bool { return server.core.RunningTasks() == 0 })
+	server.waitUntil("the server to learn that the task has ended", func() bool { return server.core.RunningTasks() == 0 })
 	client.send(healthCheckMessage)
 	client.expectNextMessage(`"checked"`) // The server has sent the client no other message about the task.
 }
@@ -172,8 +172,8 @@
 
 // TestNodesShareConnectionSlots checks that nodes use the connection slots in turn if more nodes run tasks
 // than slots exist. A turn of a node begins when the server connects to it. Between two turns of one node,
-// every other node may have at most two turns. With more turns of other nodes in between, a node could not
-// report the end of its tasks in time.
+// every other node may have at most two turns. If other nodes had more turns in between, a node would wait
+// too long for its own turn and could not report in time that its tasks have ended.
 func TestNodesShareConnectionSlots(t *testing.T) {
 	const nodeCount, turnsPerNode = 40, 4
 	acceptedBy := make(chan int, 10000) // acceptedBy receives the index of a node whenever the server connects to it.
@@ -227,7 +227,7 @@
 }
 
 // TestLinksRemovedWithTerminatedNodes checks that the link to a node is removed some time after the node has
-// terminated. In this test, the tasks on the node end only after the termination of the node.
+// terminated. In this test, the tasks on the node end only after the node has terminated.
 func TestLinksRemovedWithTerminatedNodes(t *testing.T) {
 	node := startNode(t, acceptTask)
 	server := startServer(t, 256, node.addr)
@@ -339,7 +339,7 @@
 	server.waitUntil("the server to remove the link to the terminated node", func() bool { return len(server.nodes.byID) == 1 })
 	server.runOnLoop(func() {
 		if server.core.RunningTasks() != 1 || server.nodes.openConns != 1 {
-			t.Errorf("the server counts %d running tasks and %d open node connections, want 1 of each", server.core.RunningTasks(), server.nodes.openConns)
+			t.Errorf("the server counts %d running tasks and %d open node connections, want 1 running task and 1 open node connection", server.core.RunningTasks(), server.nodes.openConns)
 		}
 	})
 }
--- a/internal/platform/server/node_links.go
+++ b/internal/platform/server/node_links.go
@@ -15,7 +15,7 @@
 )
 
 // unresponsiveTimeout and refusedTimeout determine when a node that runs tasks is declared unreachable. Both
-// must be shorter than 8 s, because a client must be notified within 8 s of the end of its task.
+// must be shorter than 8 s, because a client must be notified within 8 s after its task has ended.
 const (
 	// unresponsiveTimeout is how long the node may send no data while dials to it fail. After this time, the
 	// node is declared unreachable.
@@ -27,7 +27,7 @@
 
 // slotHoldTime is the time for which a new connection to a node that runs tasks is not evicted. If more nodes
 // run tasks than connection slots exist, the nodes use the slots in turn. With this hold time, each node gets
-// a slot often enough to report the end of a task within 8 s.
+// a slot often enough to report within 8 s that a task has ended.
 const slotHoldTime = 2 * time.Second
 
 // minDialBackoff and maxDialBackoff are the bounds of the delay between a failed dial and the next dial of
@@ -110,7 +110,7 @@
 }
 
 // takeSlot and releaseSlot count the node connections that use a connection slot. A connection uses a slot
-// from the start of its dial until it ends.
+// from the time at which its dial starts until the connection ends.
 func (links *nodeLinks) takeSlot() { links.openConns++ }
 
 func (links *nodeLinks) releaseSlot() { links.openConns-- }
@@ -124,8 +124,8 @@
 }
 
 // reconnect dials the nodes that need a connection. It begins with the node that has been without a
-// connection for the longest time. With this order, each node gets a connection in time to report the end of
-// a task even if more nodes need a connection than slots exist.
+// connection for the longest time. With this order, each node gets a connection in time to report that a task
+// has ended, even if more nodes need a connection than slots exist.
 func (links *nodeLinks) reconnect() {
 	now := links.server.loop.Now()
 	links.linksToDial = links.linksToDial[:0]
--- a/internal/platform/server/server.go
+++ b/internal/platform/server/server.go
@@ -6,10 +6,10 @@
 // the platform, all on one event loop.
 //
 // The package manages connections and transfers messages. It makes no placement decisions: it parses messages
-// and passes them to the dispatch core, which is a dispatch.Core from package dispatch, and carries out the
-// effects that the core returns. While the event loop runs, all methods of Server must be called on its
-// goroutine, so the package needs no locks. The file core_clock.go converts between the time format of the
-// event loop and that of the dispatch core.
+// and passes them to the dispatch core, which is a dispatch.Core from package dispatch. The core returns
+// effects: each effect is an action that the server must carry out, such as sending a message. While the event
+// loop runs, all methods of Server must be called on its goroutine, so the package needs no locks. The file
+// core_clock.go converts between the time format of the event loop and that of the dispatch core.
 package server
 
 import (
@@ -65,9 +65,9 @@
 	shutdown      shutdown
 }
 
-// New returns a server that accepts client connections and runs on the given event loop. When a graceful stop
-// has completed, the server calls onStopped on the event loop. New returns an error if the configuration
-// cannot be used or if the server cannot listen on the configured address.
+// New returns a server that accepts client connections and runs on the given event loop. When a graceful
+// shutdown has completed, the server calls onStopped on the event loop. New returns an error if the
+// configuration cannot be used or if the server cannot listen on the configured address.
 func New(loop *eventloop.Loop, config *Config, policy eventqueue.Placer, log zerolog.Logger, onStopped func()) (*Server, error) {
 	core, err := dispatch.New(loop.Now().UnixSeconds(), config.Settings, policy, config.InitialEvents)
 	if err != nil {
@@ -122,8 +122,9 @@
 	s.discovery.moveTo(newConfig.Discovery)
 }
 
-// applyReadyEffects carries out all effects that the dispatch core returns, and then sets coreTimer to the
-// core's next timer. It must be called after each call that notifies the core of an event.
+// applyReadyEffects carries out all effects that the dispatch core returns; an effect is an action such as
+// sending a message. It then sets coreTimer to the core's next timer. It must be called after each call that
+// notifies the core of an event.
 func (s *Server) applyReadyEffects() {
 	for effects := s.core.Ready(); len(effects) > 0; effects = s.core.Ready() {
 		for i := range effects {
--- a/internal/platform/server/server_test.go
+++ b/internal/platform/server/server_test.go
@@ -22,7 +22,7 @@
 	client := server.connect()
 	client.send(`{"kind":"check","uid":"0000000000000001","meta":{},"reason":0}` + "\n")
 	client.expectMessage(`"checked"`, `"0000000000000001"`, `"reason":1`)
-	body := `"9d\u0034\r\nc=IN \/"`
+	body := `"9d\u0034\r\nc=IN \/"` // If the server decoded and encoded this body, its escape sequences would change.
 	launch := launchMessage(7, "seats", body)
 	launch = strings.Replace(launch, `"left":`, `"idem":"e45e5817dae4","left":`, 1) // This adds an idempotency key to the launch message.
 	for _, piece := range []string{launch[:10], launch[10:50], launch[50:]} {
@@ -40,7 +40,7 @@
 }
 
 // TestNodeFaultMovesTaskToAnotherNode checks that a task is placed on another node if the first node does not
-// accept the task. The name of each subtest states the fault of the first node.
+// accept the task. The name of each subtest states why the first node does not accept the task.
 func TestNodeFaultMovesTaskToAnotherNode(t *testing.T) {
 	const incompleteAnswer = `{"kind":"running","uid":%q,"bo`
 	for name, handle := range map[string]nodeHandler{
@@ -72,7 +72,7 @@
 			}
 			server.runOnLoop(func() {
 				if counts := server.core.Counts; counts.Bound != 6 || counts.Attempts <= 6 {
-					t.Errorf("want 6 placed tasks and, because of the faults, more than 6 attempts; got the counters %+v", counts)
+					t.Errorf("want 6 placed tasks and more than 6 attempts, because the faulty node does not accept tasks; got the counters %+v", counts)
 				}
 			})
 		})
@@ -113,8 +113,8 @@
 	return server, node, client
 }
 
-// TestNoAttemptAfterDisconnect checks that the server sends no attempt for a placement request whose client
-// has closed its connection or canceled the request before the first byte of the attempt was sent.
+// TestNoAttemptAfterDisconnect checks that the server sends no attempt for a placement request if the client
+// closes its connection or cancels the request before the server has sent the first byte of the attempt.
 func TestNoAttemptAfterDisconnect(t *testing.T) {
 	manyHealthChecks := strings.Repeat(healthCheckMessage, maxLinesPerIteration+10)
 	launch, stop := launchMessage(2, "query", `"x"`), stopMessage(2, 16)
@@ -154,9 +154,9 @@
 	client := server.connect()
 	client.launch(2, "query")
 	server.waitUntil("the server to receive the request", func() bool { return server.core.OpenRequests() == 1 })
-	// The server knows no node until it receives the following discovery event, so the attempt starts long
-	// after the event loop has read the request. For this reason, the event loop handles the node connection
-	// first.
+	// The server learns of its first node from the following discovery event, so it dials the node only after
+	// the event loop has read the request. The dial succeeds before the client closes its connection, and the
+	// event loop handles the connection that becomes ready first, which is the node connection.
 	request := waitFor(t, "a request to the discovery server", server.discovery.requests)
 	request.responseText <- sseEvent(2, nodeEntryJSON(1, node.addr, "in_service"))
 	dialStarted, clientClosed := make(chan struct{}), make(chan struct{})
@@ -185,8 +185,8 @@
 // same time as a placement request. The server must adopt all these tasks before it sends an attempt for the
 // placement request.
 func TestAdoptionPrecedesPlacement(t *testing.T) {
-	// The kernel buffers about this number of adoption requests per connection. If maxLinesPerIteration
-	// applied to adoption requests, reading them would take six iterations of the event loop.
+	// The kernel buffers about this number of adoption requests per client connection. If
+	// maxLinesPerIteration applied to adoption requests, the event loop would need six iterations to read them.
 	const adoptedTasks = 350
 	node := startNode(t, acceptTask)
 	server := startServer(t, 256, node.addr)
@@ -214,9 +214,9 @@
 	client.expectMessage(`"running"`, "0000000000000001")
 }
 
-// TestTaskEndReportedBeforeAcceptance checks a draining node that reports the end of a task before it reports
-// that it has accepted the task. The server must report the end to the client and must not send the task to
-// another node.
+// TestTaskEndReportedBeforeAcceptance checks a draining node that reports that a task has ended before it
+// reports that it has accepted the task. The server must notify the client that the task has ended and must
+// not send the task to another node.
 func TestTaskEndReportedBeforeAcceptance(t *testing.T) {
 	node := startNode(t, func(conn net.Conn, line string) error {
 		if !isLaunch(line) {
@@ -265,12 +265,13 @@
 	}
 }
 
-// TestNodeReportsEndBeforeAdoption checks the case that two tasks end while the scheduler restarts. The node
-// reports both ends on its first connection with the restarted scheduler. The client requests the adoption of
-// the second task only after these reports, and must still be notified that both tasks have ended.
+// TestNodeReportsEndBeforeAdoption checks the case that two tasks end while the scheduler restarts. On its
+// first connection with the restarted scheduler, the node reports that both tasks have ended. The client
+// requests the adoption of the second task only after these reports, and must still be notified that both
+// tasks have ended.
 func TestNodeReportsEndBeforeAdoption(t *testing.T) {
 	listener := listenOn(t, "127.0.0.1:0")
-	// The node reports the end of each task only once. If it repeated the reports on every connection, the
+	// The node reports only once that a task has ended. If it repeated the reports on every connection, the
 	// test would pass even if the scheduler forgot the first reports.
 	go func() {
 		conn, err := listener.Accept()
@@ -285,12 +286,12 @@
 	client := server.connect()
 	client.send(healthCheckMessage + adoptMessage(1, 1))
 	client.expectMessage(`"stop"`, "0000000000000001", `"reason":16`)
-	server.waitUntil("the node to report the end of task 2, which is not adopted yet", func() bool { return server.core.Counts.UnknownTasks == 1 })
+	server.waitUntil("the node to report that task 2, which is not adopted yet, has ended", func() bool { return server.core.Counts.UnknownTasks == 1 })
 	client.send(adoptMessage(2, 1))
 	client.expectMessage(`"stop"`, "0000000000000002", `"reason":41`)
 	server.runOnLoop(func() {
 		if runningTasks := server.core.RunningTasks(); runningTasks != 0 {
-			t.Errorf("the server counts %d running tasks after the node reported the ends of both tasks, want none", runningTasks)
+			t.Errorf("the server counts %d running tasks after the node reported that both tasks have ended, want none", runningTasks)
 		}
 	})
 }
--- a/internal/platform/server/settings_test.go
+++ b/internal/platform/server/settings_test.go
@@ -22,9 +22,9 @@
 	for name, test := range map[string]struct {
 		modify     func(settings object)
 		wantError  string // wantError is a part of the expected error, or "" if the settings are valid.
-		wantPlaced bool   // wantPlaced states whether a task of each task class must be placed.
+		wantPlaced bool   // wantPlaced states whether the test requires that one task of every task class is placed.
 	}{
-		"test settings without a change": {func(object) {}, "", true},
+		"unchanged test settings": {func(object) {}, "", true},
 		"settings with unknown keys": {func(settings object) {
 			settings["später"] = []any{1}
 			subobject(settings, "extra")["x"] = object{"y": nil}
@@ -44,7 +44,7 @@
 				classes = append(classes, object{"name": fmt.Sprint("c", i), "effect": "idempotent", "hardLimitS": 2.0, "objectiveS": 0.5, "worth": 1.0})
 			}
 			settings["lanes"] = classes
-		}, "", false}, // The one node of this test does not have enough capacity for a task of each class.
+		}, "", false}, // The forty tasks, one of each class, need more capacity than the only node of this test has.
 		"settings without tenants":          {func(settings object) { delete(settings, "orgs") }, "", true},
 		"settings without zones":            {func(settings object) { delete(settings, "zones") }, "", true},
 		"settings without node types":       {func(settings object) { delete(settings, "flavors") }, "", false},
--- a/internal/platform/server/shutdown_test.go
+++ b/internal/platform/server/shutdown_test.go
@@ -24,8 +24,8 @@
 }
 
 // TestStopAnswersAcceptedRequests checks that the server answers placement requests that arrive before or
-// shortly after the start of a graceful stop. While the server then waits for running tasks, it must still
-// report the end of a task to the client.
+// shortly after a graceful shutdown begins. While the server then waits for running tasks, it must still
+// notify a client whose task ends.
 func TestStopAnswersAcceptedRequests(t *testing.T) {
 	launches := make(chan unansweredLaunch, 10)
 	node := startNode(t, func(conn net.Conn, line string) error {
@@ -39,15 +39,15 @@
 	earlyClient.launch(1, "seats")
 	earlyLaunch := waitFor(t, "the launch message for the first task at the node", launches)
 	server.runOnLoop(func() { server.Stop(); server.Stop() })
-	lateClient := server.connect() // After the start of the stop, the server still accepts connections for acceptGrace.
+	lateClient := server.connect() // After the shutdown begins, the server accepts connections for acceptGrace.
 	lateClient.launch(2, "seats")
-	lateLaunch := waitFor(t, "the launch message for the task that the client requested after the stop began", launches)
+	lateLaunch := waitFor(t, "the launch message for the task that the client requested after the shutdown began", launches)
 	earlyLaunch.accept(t)
 	lateLaunch.accept(t)
 	earlyClient.expectMessage(`"running"`)
 	lateClient.expectMessage(`"running"`)
-	// Both requests are answered and the listener is closed, but the tasks still run. The server must not
-	// stop yet, because it can still report the end of a task.
+	// Both requests are answered, but the tasks still run. The server must not stop yet after it has closed the
+	// listener, because it must still notify the clients when their tasks end.
 	server.waitUntil("the listener to close", func() bool { return server.listener.Closed() })
 	uid := taskUID(earlyLaunch.line)
 	sendTo(t, earlyLaunch.conn, fmt.Sprintf(`{"kind":"stop","uid":%q,"reason":16}`+"\n", uid))
@@ -56,7 +56,7 @@
 }
 
 // TestStopServesAcceptBacklog checks client connections that the kernel has accepted, but the server has not,
-// when a graceful stop closes the listener. The server must still answer the clients of these connections.
+// when a graceful shutdown closes the listener. The server must still answer the clients of these connections.
 func TestStopServesAcceptBacklog(t *testing.T) {
 	server := startServer(t, 2000, startNode(t, acceptTask).addr)
 	var clients []*testClient
@@ -73,7 +73,7 @@
 }
 
 // TestStopServesIncompleteRequest checks a placement request of which only a part has arrived when the final
-// phase of a graceful stop begins. The server must answer the request after the rest has arrived.
+// phase of a graceful shutdown begins. The server must answer the request after the rest has arrived.
 func TestStopServesIncompleteRequest(t *testing.T) {
 	server := startServer(t, 256, startNode(t, acceptTask).addr)
 	client := server.connect()
@@ -85,8 +85,8 @@
 	client.expectMessage(`"running"`)
 }
 
-// TestStopFlushesAnswers checks that answers reach a client that sends data at the very end of a graceful
-// stop. If the process ended before the server had read this data, the kernel would reset the client
+// TestStopFlushesAnswers checks that answers reach a client that sends data in the final phase of a graceful
+// shutdown. If the process ended before the server had read this data, the kernel would reset the client
 // connection. The client would then lose the answers that it has not read yet.
 func TestStopFlushesAnswers(t *testing.T) {
 	node := startNode(t, func(conn net.Conn, line string) error {
@@ -102,10 +102,10 @@
 	finalPhase, dataSent := make(chan struct{}), make(chan struct{})
 	server.loop.Post(func() {
 		server.finishStopNow()
-		close(finalPhase) // The server has decided to end, and has read all data that has arrived so far.
+		close(finalPhase) // The server has begun the final phase and has read all data that has arrived so far.
 		<-dataSent
 	})
-	waitFor(t, "the final phase of the stop", finalPhase)
+	waitFor(t, "the final phase of the shutdown to begin", finalPhase)
 	client.send(`{"kind":"stopped","uid":"0000000000000001","meta":{}}` + "\n")
 	close(dataSent)
 	client.expectMessage(`"stop"`, "0000000000000001")
