--- a/internal/platform/protocol/json.go
+++ b/internal/platform/protocol/json.go
@@ -266,7 +266,8 @@
 	}
 }
 
-// expectLiteral consumes the given literal. It returns an error if the input continues differently.
+// expectLiteral consumes the given literal. It returns an error if the line does not continue with this
+// literal.
 func (p *parser) expectLiteral(literal string) error {
 	if len(p.line)-p.position < len(literal) || string(p.line[p.position:p.position+len(literal)]) != literal {
 		return p.expectedError(literal)
--- a/internal/platform/protocol/message.go
+++ b/internal/platform/protocol/message.go
@@ -103,7 +103,7 @@
 	Class          Field = iota // Class is the name of the task class to which the requested task belongs.
 	TimeLeft                    // TimeLeft is the time in milliseconds for which the sender still waits for an answer.
 	Tenant                      // Tenant is the name of the tenant to which a placement request belongs.
-	Key                         // Key has 16 hexadecimal digits; the scheduler copies it from the client's Launch to the node's Launch.
+	Key                         // Key is a number of 16 hexadecimal digits; the scheduler copies it from the client's Launch to the node's Launch.
 	IdempotencyKey              // IdempotencyKey lets a node recognize a repeated attempt for a task whose class is deduplicated.
 	Extras                      // Extras contains further properties of a task as name:value pairs, separated by semicolons.
 	RetryAfter                  // RetryAfter is the time in milliseconds that a rejected client should wait before a retry.
--- a/internal/platform/protocol/message_test.go
+++ b/internal/platform/protocol/message_test.go
@@ -21,7 +21,7 @@
 		t.Fatalf("Parse returned the message %+v, want a launch message with the ID in the line and without a cause", msg)
 	}
 	if msg.Get(TimeLeft) != "1500" || msg.Get(Class) != "batch" || msg.Has(RetryAfter) {
-		t.Fatalf("Parse returned the message %+v, want the field TimeLeft 1500, the task class batch and no field RetryAfter", msg)
+		t.Fatalf("Parse returned the message %+v, want the value 1500 in the field TimeLeft, the value batch in the field Class, and no field RetryAfter", msg)
 	}
 	if want := launchLine[strings.Index(launchLine, `"9d`) : len(launchLine)-1]; msg.Body != want {
 		t.Fatalf("the body of the parsed message is %s, want exactly the body in the line: %s", msg.Body, want)
--- a/internal/platform/server/attempt_sender.go
+++ b/internal/platform/server/attempt_sender.go
@@ -20,10 +20,10 @@
 }
 
 // sendPending sends the pending attempts. An attempt must not be sent if its client has canceled the request
-// or closed the client connection. The kernel may already have received this cancellation or close although
-// the event loop has not read it yet, so sendPending reads the client connection once more before it sends an
-// attempt. If the client has canceled the request or disconnected, the dispatch core ends the attempt, and no
-// byte of the attempt is sent.
+// or closed the client connection. Even if the event loop has not read a cancellation or noticed a closed
+// connection yet, the kernel may already have received it. For this reason, sendPending reads the client
+// connection once more before it sends an attempt. If the client has canceled the request or disconnected, the
+// dispatch core ends the attempt, and no byte of the attempt is sent.
 func (sender *attemptSender) sendPending() {
 	s := sender.server
 	attempts := sender.pendingAttempts
--- a/internal/platform/server/client_conn.go
+++ b/internal/platform/server/client_conn.go
@@ -133,7 +133,8 @@
 // readPendingAdoptions makes the server read the client connection once more at the end of the current
 // iteration of the event loop. After a restart of the scheduler, clients request the adoption of thousands of
 // running tasks at once. These tasks use capacity even before the scheduler has read the adoption requests.
-// For this reason, all adoption requests that have arrived are read before any task is placed.
+// If a task were placed before an adoption request was read, the scheduler could place it on a node without
+// free capacity. For this reason, all adoption requests that have arrived are read before any task is placed.
 func (c *clientConn) readPendingAdoptions() {
 	if c.state == clientAdopting {
 		return
@@ -195,8 +196,8 @@
 	return c.state != clientClosing && openRequests == 0 && !hasPlacedTask && c.isSilent(now) && !core.IsOnlyClient(c.id)
 }
 
-// isSilent reports whether no valid message has arrived on the client connection for idleClientTimeout. It
-// returns false if an incomplete message began to arrive within the last incompleteMessageTimeout.
+// isSilent reports whether no valid message has arrived on the client connection for idleClientTimeout. The
+// result is also false if an incomplete message began to arrive less than incompleteMessageTimeout ago.
 func (c *clientConn) isSilent(now clock.Instant) bool {
 	isReceiving := !c.incompleteSince.IsZero() && now.Sub(c.incompleteSince) < incompleteMessageTimeout
 	return now.Sub(c.lastMessageAt) > idleClientTimeout && !isReceiving
--- a/internal/platform/server/client_conn_test.go
+++ b/internal/platform/server/client_conn_test.go
@@ -92,7 +92,7 @@
 	}
 	server.runOnLoop(func() {
 		if len(server.clients.byID) > server.clients.maxConns || server.clients.maxConns+server.nodes.maxConns+reservedDescriptors > 64 {
-			t.Errorf("%d client connections are open, want at most %d; all client and node connections must fit into 64 file descriptors",
+			t.Errorf("%d client connections are open, want at most %d; the limits for client and node connections must together fit into 64 file descriptors",
 				len(server.clients.byID), server.clients.maxConns)
 		}
 	})
--- a/internal/platform/server/config.go
+++ b/internal/platform/server/config.go
@@ -28,7 +28,7 @@
 	CPULimit      float64         // CPULimit is the limit on processor cores, or 0 if the configuration sets none.
 	MemoryLimit   int64           // MemoryLimit is the memory limit in bytes, or 0 if the configuration sets none.
 	OpenFileLimit int             // OpenFileLimit is the limit on file descriptors, or 0 if the configuration sets none.
-	InitialEvents json.RawMessage // InitialEvents contains the discovery events that precede the start of the scheduler.
+	InitialEvents json.RawMessage // InitialEvents contains the discovery events that were published before the scheduler started.
 	Settings      *simconfig.Settings
 }
 
--- a/internal/platform/server/conn_state_test.go
+++ b/internal/platform/server/conn_state_test.go
@@ -7,9 +7,9 @@
 	"testing"
 )
 
-// checkAllTransitions attempts every transition between two states of a connection. It uses the function
-// setState for this, which returns the resulting state. A legal transition must change the state. An illegal
-// transition must be counted and must leave the state unchanged.
+// checkAllTransitions attempts every transition between two states of a client or node connection. It
+// calls the parameter setState for each transition, which returns the resulting state. A legal transition must
+// change the state. An illegal transition must be counted and must leave the state unchanged.
 func checkAllTransitions[State interface {
 	comparable
 	fmt.Stringer
@@ -25,7 +25,7 @@
 					wantState, wantIllegalCount = to, 0
 				}
 				if state != wantState {
-					t.Errorf("after the attempted transition, the connection is in state %s, want %s", state, wantState)
+					t.Errorf("after the attempted transition, the client or node connection is in state %s, want %s", state, wantState)
 				}
 				if illegalCount := server.stats.IllegalTransitions; illegalCount != wantIllegalCount {
 					t.Errorf("after the attempted transition, the server has counted %d illegal transitions, want %d", illegalCount, wantIllegalCount)
--- a/internal/platform/server/discovery_test.go
+++ b/internal/platform/server/discovery_test.go
@@ -58,8 +58,8 @@
 	}
 }
 
-// TestDiscoveryBackoff checks that the intervals between the requests for a discovery stream grow if the
-// discovery server ends every response at once.
+// TestDiscoveryBackoff checks that the server waits longer and longer between its requests for a discovery
+// stream if the discovery server ends every response at once.
 func TestDiscoveryBackoff(t *testing.T) {
 	server := startServer(t, 256)
 	var firstRequestAt time.Time
--- a/internal/platform/server/fixture_test.go
+++ b/internal/platform/server/fixture_test.go
@@ -36,7 +36,8 @@
 // healthCheckMessage is a health check that a test client sends to the server.
 const healthCheckMessage = `{"kind":"check","uid":"00000000000000aa","meta":{},"reason":0}` + "\n"
 
-// launchMessage returns a launch message that requests the placement of a task. The body is a JSON value.
+// launchMessage returns a launch message that requests the placement of a task. The parameter body is a JSON
+// value.
 func launchMessage(id int, class, body string) string {
 	return fmt.Sprintf(`{"kind":"launch","uid":"%016x","meta":{"class":%q,"left":"3000","tenant":"south","key":"%016x",`+
 		`"extras":"cores:1;memory:1;service:0000000000000005"},"body":%s}`+"\n", id, class, id, body)
@@ -60,7 +61,7 @@
 }
 
 // waitFor receives a value from a channel. It fails the test if no value arrives within testTimeout. The
-// description completes the failure message "timed out waiting for".
+// failure message consists of the words "timed out waiting for" and the description.
 func waitFor[T any](t *testing.T, description string, ch <-chan T) T {
 	t.Helper()
 	select {
@@ -203,8 +204,8 @@
 }
 
 // waitUntil evaluates a condition on the event loop every millisecond until the condition is true. If this
-// takes longer than testTimeout, waitUntil fails the test. The description completes the failure message
-// "timed out waiting for".
+// takes longer than testTimeout, waitUntil fails the test. The failure message consists of the words "timed
+// out waiting for" and the description.
 func (server *testServer) waitUntil(description string, condition func() bool) {
 	server.t.Helper()
 	conditionMet := make(chan struct{})
--- a/internal/platform/server/node_conn.go
+++ b/internal/platform/server/node_conn.go
@@ -154,8 +154,8 @@
 // Drained implements eventloop.Handler. It does nothing.
 func (nc *nodeConn) Drained(*eventloop.Conn) {}
 
-// Closed implements eventloop.Handler. The event loop calls it when the dial to the node has failed or the
-// established connection has ended.
+// Closed implements eventloop.Handler. The event loop calls it when the dial to the node has failed or when
+// the established connection has ended.
 func (nc *nodeConn) Closed(_ *eventloop.Conn, err error) {
 	link := nc.link
 	s := link.server
@@ -179,8 +179,8 @@
 	nc.reportLostAttempts()
 }
 
-// reportLostAttempts tells the dispatch core which unanswered attempts were sent on the node connection,
-// which has ended. It is unknown whether the node received these attempts.
+// reportLostAttempts tells the dispatch core which attempts on the node connection were unanswered when the
+// connection ended. It is unknown whether the node received these attempts.
 func (nc *nodeConn) reportLostAttempts() {
 	s := nc.link.server
 	unansweredAttempts := make([]*dispatch.Attempt, 0, len(nc.attempts))
--- a/internal/platform/server/node_fixture_test.go
+++ b/internal/platform/server/node_fixture_test.go
@@ -108,8 +108,8 @@
 func ignoreMessages(net.Conn, string) error { return nil }
 
 // expectNoLaunch fails the test if the server has sent the node a launch message that should not have been
-// sent. To find such a message, it lets the client request one more task. No launch message for another task
-// may arrive at the node before the launch message for this last task.
+// sent. To find such a message, it lets the client request one last task. The node must not receive a launch
+// message for another task before it receives the launch message for this last task.
 func (node *testNode) expectNoLaunch(client *testClient) {
 	node.t.Helper()
 	const lastTaskID = 0xff
@@ -147,9 +147,9 @@
 	return addr
 }
 
-// listenUnresponsive listens on a port of 127.0.0.1 and fills the accept queue of the port. The port then
-// neither accepts nor refuses connections, like a node that has vanished from the network. If port is 0, the
-// kernel selects a port.
+// listenUnresponsive listens on a port of 127.0.0.1 and fills the accept queue of the port. Further dials to
+// the port then time out, as do dials to a node that has vanished from the network. If port is 0, the kernel
+// selects a port.
 func listenUnresponsive(t *testing.T, port int) (addr string, stop func()) {
 	t.Helper()
 	fd, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM, 0)
--- a/internal/platform/server/node_link.go
+++ b/internal/platform/server/node_link.go
@@ -38,8 +38,8 @@
 	reachability    connpool.Reachability
 	hasTasks        bool // hasTasks states whether the node ran tasks at the last call of maintain.
 	// needsConn states whether the last call of maintain decided that the node must be dialed. A node must be
-	// dialed if it has no connection although running tasks or pending messages require one, and if the node
-	// may be dialed.
+	// dialed if no connection to it is established although running tasks or pending messages require one, and
+	// if checkReachability allows a dial.
 	needsConn bool
 }
 
@@ -177,7 +177,7 @@
 	s := link.server
 	s.stats.NodeDialsFailed++
 	link.retryAt = s.loop.Now().Add(s.nextRetryDelay(&link.backoff))
-	if !errors.Is(err, errNoConnectionSlot) { // A lack of connection slots does not show whether the node is reachable.
+	if !errors.Is(err, errNoConnectionSlot) { // A dial for which no connection slot is free does not show whether the node is reachable.
 		link.reachability.DialFailed(s.loop.Now(), errors.Is(err, unix.ECONNREFUSED))
 	}
 	attempts := link.queuedAttempts
--- a/internal/platform/server/node_link_test.go
+++ b/internal/platform/server/node_link_test.go
@@ -76,7 +76,7 @@
 			client.expectMessage(`"stop"`, `"reason":41`)
 			server.runOnLoop(func() {
 				if server.stats.NodesUnreachable != 1 || server.core.RunningTasks() != wantRunning || server.core.Counts.TasksLost != 1 {
-					t.Errorf("want 1 unreachable node, 1 lost task, and as running tasks 1 if dials time out or 0 if connections are refused; got the counters %+v and %+v",
+					t.Errorf("want 1 unreachable node, 1 lost task, and 1 running task if dials time out or none if connections are refused; got the counters %+v and %+v",
 						server.stats, server.core.Counts)
 				}
 			})
--- a/internal/platform/server/server.go
+++ b/internal/platform/server/server.go
@@ -77,9 +77,9 @@
 	if openFileLimit == 0 {
 		openFileLimit = defaultOpenFileLimit
 	}
-	// Half of the connection slots are for node connections and half for client connections. Client
-	// connections on which a valid message has arrived use at most a third of all slots. The other slots for
-	// clients are for connections on which no valid message has arrived yet.
+	// Half of the connection slots are for node connections and half are for client connections. Client
+	// connections on which a valid message has arrived use at most a third of all slots. The remaining client
+	// slots are for client connections on which no valid message has arrived yet.
 	maxNodeConns := (openFileLimit - reservedDescriptors) / 2
 	s := &Server{
 		loop:   loop,
--- a/internal/platform/server/stats.go
+++ b/internal/platform/server/stats.go
@@ -14,8 +14,8 @@
 // statsInterval is the time between two log lines that contain the counters.
 const statsInterval = 10 * time.Second
 
-// Stats contains counters of what happened on client, node and discovery connections since the server
-// started. It is logged as JSON under the names of its fields.
+// Stats contains counters of events on client, node and discovery connections since the server started. It is
+// logged as JSON under the names of its fields.
 type Stats struct {
 	ClientsAccepted    uint64 // ClientsAccepted counts accepted client connections.
 	IdleClientsClosed  uint64 // IdleClientsClosed counts client connections that were closed because they were idle.
@@ -36,8 +36,8 @@
 	InvalidFromNodes   InvalidInput
 }
 
-// InvalidInput counts rejected messages and lines by the reason for the rejection. Its JSON form omits
-// counters that are 0.
+// InvalidInput is a set of counters of rejected messages and lines, with one counter for each reason for which
+// they are rejected. Its JSON form omits counters that are 0.
 type InvalidInput struct {
 	UnknownNode     uint64 `json:"at,omitempty"`         // UnknownNode counts adoption requests that name a node that is not in the node registry.
 	Body            uint64 `json:"body,omitempty"`       // Body counts requests without a body.
@@ -47,7 +47,7 @@
 	Key             uint64 `json:"key,omitempty"`        // Key counts requests whose field protocol.Key is malformed.
 	TimeLeft        uint64 `json:"left,omitempty"`       // TimeLeft counts requests whose remaining time is malformed or out of range.
 	LineTooLong     uint64 `json:"long line,omitempty"`  // LineTooLong counts lines that are too long; the connection is then closed.
-	Other           uint64 `json:"other,omitempty"`      // Other counts rejections for all other reasons.
+	Other           uint64 `json:"other,omitempty"`      // Other counts messages that were rejected for any other reason.
 	StopOfOtherConn uint64 `json:"stop,omitempty"`       // StopOfOtherConn counts Stop messages for a request that is open on another client connection.
 	Tenant          uint64 `json:"tenant,omitempty"`     // Tenant counts requests with a tenant that the settings do not contain.
 	Unreadable      uint64 `json:"unreadable,omitempty"` // Unreadable counts lines that are not valid messages; the connection is then closed.
--- a/internal/platform/server/stats_test.go
+++ b/internal/platform/server/stats_test.go
@@ -12,8 +12,8 @@
 	"heathshed/internal/platform/protocol"
 )
 
-// TestInvalidInputJSON checks that each kind of invalid input has its own counter. It also checks that only
-// counters above 0 are logged, and that they are logged under the names that operators use.
+// TestInvalidInputJSON checks that each kind of invalid input has its own counter. It also checks that the
+// JSON form of the counters contains only counters above 0, under the names that operators use.
 func TestInvalidInputJSON(t *testing.T) {
 	for _, test := range []struct {
 		err      error
