--- a/internal/platform/protocol/characterization_test.go
+++ b/internal/platform/protocol/characterization_test.go
@@ -68,7 +68,7 @@
 }
 
 // corpusLines returns lines that together contain every kind of message and every field. Each JSON value of
-// stringLiterals and otherValues occurs as the value of each key and of each field.
+// stringLiterals and otherValues occurs as the value of each top-level key and of each field of "meta".
 func corpusLines() []string {
 	const uid = `"uid":"00000000000000aF"`
 	var lines []string
--- a/internal/platform/server/client_conn_test.go
+++ b/internal/platform/server/client_conn_test.go
@@ -18,13 +18,13 @@
 	wellBehavedClient := server.connect()
 	wellBehavedClient.runTask(1, "query")
 	const firstID = 1000
-	withdrawal := `{"kind":"stop","uid":"00000000000003ea","reason":16}` + "\n" // 0x3ea is firstID+2, the ID of the canceled task.
+	withdrawal := `{"kind":"stop","uid":"00000000000003ea","reason":16}` + "\n" // 0x3ea is firstID+2, the ID of the task whose request is canceled.
 	var clientsDone sync.WaitGroup
 	for name, misbehave := range map[string]func(client *testClient){
 		"sends nothing":                  func(*testClient) {},
 		"sends invalid data":             func(client *testClient) { client.send("\xff\xfe\x00\n") },
 		"sends half a line":              func(client *testClient) { client.send(`{"kind":"lau`) },
-		"sends 60 MB":                    func(client *testClient) { go client.flood(60 << 20) },
+		"sends 60 MiB":                   func(client *testClient) { go client.flood(60 << 20) },
 		"requests an unknown task class": func(client *testClient) { client.launch(firstID, "gold") },
 		"omits the uid":                  func(client *testClient) { client.send(`{"kind":"launch","meta":{}}` + "\n") },
 		"stops an unknown task":          func(client *testClient) { client.send(`{"kind":"stop","uid":"00000000000000ff","reason":16}` + "\n") },
@@ -54,7 +54,8 @@
 	server.runOnLoop(func() {
 		invalidInput := server.stats.InvalidFromClients
 		for kind, count := range map[string]uint64{
-			"unreadable": invalidInput.Unreadable, "long line": invalidInput.LineTooLong, "class": invalidInput.Class, "id in use": invalidInput.DuplicateID,
+			"unreadable line": invalidInput.Unreadable, "long line": invalidInput.LineTooLong,
+			"unknown task class": invalidInput.Class, "task ID in use": invalidInput.DuplicateID,
 		} {
 			if count == 0 {
 				t.Errorf("the server counted no invalid input of the kind %q, want at least 1; all counters: %+v", kind, invalidInput)
--- a/internal/platform/server/discovery.go
+++ b/internal/platform/server/discovery.go
@@ -37,7 +37,7 @@
 // maxEventBytes is the maximum size of one discovery event in bytes.
 const maxEventBytes = 2 << 20
 
-// These errors end a discovery stream and are logged with the warning that the watch has failed.
+// Each of these errors ends a discovery stream and is logged with the warning "discovery watch failed".
 var (
 	errStreamIdle       = errors.New("discovery server sent no data within the idle timeout")
 	errStreamEnded      = errors.New("discovery server ended the stream")
--- a/internal/platform/server/fixture_test.go
+++ b/internal/platform/server/fixture_test.go
@@ -19,7 +19,8 @@
 	"heathshed/placer"
 )
 
-// testTimeout is the maximum time for which a test waits for one event. A test that passes waits much less.
+// testTimeout is the maximum time for which a test waits for one event. A test that passes waits for a much
+// shorter time.
 const testTimeout = 20 * time.Second
 
 // testSettings are the settings of a scheduler with the task classes "query" (idempotent) and "seats" (at
--- a/internal/platform/server/logging_test.go
+++ b/internal/platform/server/logging_test.go
@@ -49,7 +49,7 @@
 	log := server.captureLog()
 	client := server.connect()
 	healthChecks := strings.Repeat(`{"kind":"check","uid":"0000000000000001","meta":{},"reason":0}`+"\n", 1000)
-	server.runOnLoop(func() { server.log = server.log.Level(zerolog.WarnLevel) }) // At this level, messages are not traced.
+	server.runOnLoop(func() { server.log = server.log.Level(zerolog.WarnLevel) }) // At the warn level, the server does not log each message.
 	for sentBytes := 0; sentBytes < 1<<30; {
 		writtenBytes, err := client.Write([]byte(healthChecks))
 		if err != nil {
--- a/internal/platform/server/node_link.go
+++ b/internal/platform/server/node_link.go
@@ -201,7 +201,8 @@
 }
 
 // maintain closes idle and unresponsive connections to the node, and decides whether the node must be dialed.
-// It removes the link some time after the node has terminated, once no task runs on the node.
+// It removes the link if no task runs on the node and the dispatch core does not know the node or the node has
+// been terminated for more than dispatch.TerminationGrace.
 func (link *nodeLink) maintain() {
 	s := link.server
 	now := s.loop.Now()
--- a/internal/platform/server/node_link_test.go
+++ b/internal/platform/server/node_link_test.go
@@ -264,9 +264,9 @@
 
 // TestFullListOmitsNode checks the case that a full list of nodes from the discovery server omits a node to
 // which an unanswered attempt was sent. If the next full list contains the node again, no task or attempt may
-// be lost. Otherwise, all tasks on the node must be reported as lost. This includes the task of the attempt,
-// which the node accepts only after the full list that omits it. The test runs with and without another task
-// that already runs on the node.
+// be lost. If no later list contains the node, all tasks on the node must be reported as lost. This includes
+// the task of the attempt, which the node accepts only after the server has received the full list that omits
+// the node. The test runs with and without another task that already runs on the node.
 func TestFullListOmitsNode(t *testing.T) {
 	for _, test := range []struct{ listedAgain, taskRuns bool }{{true, true}, {true, false}, {false, true}, {false, false}} {
 		t.Run(fmt.Sprintf("%+v", test), func(t *testing.T) {
