--- a/internal/platform/server/fixture_test.go
+++ b/internal/platform/server/fixture_test.go
@@ -19,7 +19,8 @@
 	"heathshed/placer"
 )
 
-// testTimeout is the maximum time for which a test waits for one event. A test that passes waits much less.
+// testTimeout is the maximum time for which a test waits for one event. A test that passes waits for a much
+// shorter time.
 const testTimeout = 20 * time.Second
 
 // testSettings are the settings of a scheduler with the task classes "query" (idempotent) and "seats" (at
@@ -36,7 +37,8 @@
 // healthCheckMessage is a health check that a test client sends to the server.
 const healthCheckMessage = `{"kind":"check","uid":"00000000000000aa","meta":{},"reason":0}` + "\n"
 
-// launchMessage returns a launch message that requests the placement of a task. The body is a JSON value.
+// launchMessage returns a launch message that requests the placement of a task. The parameter body is a JSON
+// value.
 func launchMessage(id int, class, body string) string {
 	return fmt.Sprintf(`{"kind":"launch","uid":"%016x","meta":{"class":%q,"left":"3000","tenant":"south","key":"%016x",`+
 		`"extras":"cores:1;memory:1;service:0000000000000005"},"body":%s}`+"\n", id, class, id, body)
@@ -60,7 +62,7 @@
 }
 
 // waitFor receives a value from a channel. It fails the test if no value arrives within testTimeout. The
-// description completes the failure message "timed out waiting for".
+// failure message consists of the words "timed out waiting for" and the description.
 func waitFor[T any](t *testing.T, description string, ch <-chan T) T {
 	t.Helper()
 	select {
@@ -203,8 +205,8 @@
 }
 
 // waitUntil evaluates a condition on the event loop every millisecond until the condition is true. If this
-// takes longer than testTimeout, waitUntil fails the test. The description completes the failure message
-// "timed out waiting for".
+// takes longer than testTimeout, waitUntil fails the test. The failure message consists of the words "timed
+// out waiting for" and the description.
 func (server *testServer) waitUntil(description string, condition func() bool) {
 	server.t.Helper()
 	conditionMet := make(chan struct{})
@@ -247,8 +249,8 @@
 	}
 }
 
-// finishStopNow starts the final phase of a graceful stop at once. The server then behaves as if the stop had
-// been requested a second ago. finishStopNow must be called on the event loop.
+// finishStopNow starts the final phase of a graceful shutdown at once. The server then behaves as if the
+// shutdown had been requested a second ago. finishStopNow must be called on the event loop.
 func (server *testServer) finishStopNow() {
 	server.shutdown.requested = true
 	server.shutdown.requestedAt = server.loop.Now().Add(-time.Second)
--- a/internal/platform/server/node_conn.go
+++ b/internal/platform/server/node_conn.go
@@ -124,22 +124,22 @@
 // handleLine parses one line from the node. It records the answer to a health check, and passes any other
 // message to the dispatch core. If the line is not a message or is a message that nodes may not send, it
 // returns an error, and the caller closes the node connection.
-func (nc *nodeConn) handleLine(line []byte) (lineCost, error) {
+func (nc *nodeConn) handleLine(line []byte) (lineAccounting, error) {
 	s := nc.link.server
 	if err := protocol.Parse(line, &nc.message); err != nil {
-		return countsTowardsLimit, err
+		return countsTowardsLineLimit, err
 	}
 	kind := nc.message.Kind
 	if kind == protocol.Launch || kind == protocol.Check {
-		return countsTowardsLimit, errUnexpectedKind
+		return countsTowardsLineLimit, errUnexpectedKind
 	}
 	s.traceMessage("node>", uint64(nc.id), nc.conn.Peer(), &nc.message)
 	if kind == protocol.Checked {
 		nc.keepAlive.HealthCheckSent = 0
-		return countsTowardsLimit, nil
+		return countsTowardsLineLimit, nil
 	}
 	s.core.ReceiveFromNode(s.coreNow(), nc.link.id, &nc.message)
-	return countsTowardsLimit, nil
+	return countsTowardsLineLimit, nil
 }
 
 // removeAnsweredAttempts removes the attempts that no longer wait for an answer of the node.
@@ -154,8 +154,8 @@
 // Drained implements eventloop.Handler. It does nothing.
 func (nc *nodeConn) Drained(*eventloop.Conn) {}
 
-// Closed implements eventloop.Handler. The event loop calls it when the dial to the node has failed or the
-// established connection has ended.
+// Closed implements eventloop.Handler. The event loop calls it when the dial to the node has failed or when
+// the established connection has ended.
 func (nc *nodeConn) Closed(_ *eventloop.Conn, err error) {
 	link := nc.link
 	s := link.server
@@ -179,8 +179,8 @@
 	nc.reportLostAttempts()
 }
 
-// reportLostAttempts tells the dispatch core which unanswered attempts were sent on the node connection,
-// which has ended. It is unknown whether the node received these attempts.
+// reportLostAttempts tells the dispatch core which attempts on the node connection were unanswered when the
+// connection ended. It is unknown whether the node received these attempts.
 func (nc *nodeConn) reportLostAttempts() {
 	s := nc.link.server
 	unansweredAttempts := make([]*dispatch.Attempt, 0, len(nc.attempts))
