--- a/internal/config/characterization_test.go
+++ b/internal/config/characterization_test.go
@@ -16,12 +16,12 @@
 )
 
 // The tests in this file compare the text of settings, the configurations derived from settings, and error
-// messages with golden files. The golden files may be regenerated with HEATHSHED_UPDATE_GOLDEN=1 only if a change
-// of behaviour is intended. Package goldentest describes this environment variable.
+// messages with golden files. The golden files may be regenerated with HEATHSHED_UPDATE_GOLDEN=1 only if a
+// change of behaviour is intended. Package goldentest describes this environment variable.
 
-// TestCharacterizeSettings compares the text of the default settings, the text of the settings from valid files,
-// and the errors of invalid files with the golden file "settings". It compares the configurations derived from
-// valid files with the golden file "derived". That file contains no names of settings, so
+// TestCharacterizeSettings compares the text of the default settings, the text of the settings from valid
+// files, and the errors of invalid files with the golden file "settings". It compares the configurations
+// derived from valid files with the golden file "derived". That file contains no names of settings, so
 // TestFormerNamesGiveSameDerivedConfig can use it for files with former names.
 func TestCharacterizeSettings(t *testing.T) {
 	printed, derived := goldentest.NewRecorder(), goldentest.NewRecorder()
@@ -47,8 +47,8 @@
 	derived.Check(t, "derived")
 }
 
-// TestFormerNamesGiveSameDerivedConfig guards against a former name that is mapped to the wrong setting. The test
-// starts from a file with the names of release 0.1, and replaces the value of one setting at a time. The
+// TestFormerNamesGiveSameDerivedConfig guards against a former name that is mapped to the wrong setting. The
+// test starts from a file with the names of release 0.1, and replaces the value of one setting at a time. The
 // configurations derived from the resulting files must equal the golden file "derived". In that golden file,
 // TestCharacterizeSettings has recorded the configurations derived from the same files with current names.
 func TestFormerNamesGiveSameDerivedConfig(t *testing.T) {
@@ -71,9 +71,9 @@
 	return `{"classes": [{"name": "a", ` + fields + `}], "defaultClass": "a"}`
 }
 
-// settingsFiles returns the texts of valid and invalid settings files. The parameter "text" is the text of a file
-// with the default settings. The result contains this text, and copies of it in which the value of one setting
-// has been replaced. Some of the replacement values have the wrong type, and others are out of range.
+// settingsFiles returns the texts of valid and invalid settings files. The parameter "text" is the text of a
+// file with the default settings. The result contains this text, and copies of it in which the value of one
+// setting has been replaced. Some of the replacement values have the wrong type, and others are out of range.
 //
 // The other files are short, and most of them contain one error, such as an unknown node type. Some of them use
 // names of release 0.1, such as nodeKind for nodeType and apartBy for spreadDomain.
@@ -136,8 +136,8 @@
 	record.Checkpoint(fmt.Sprintf("file %d derived", fileIndex))
 }
 
-// recordValues records the given values in their order. The reflect.Kind of a value determines the method of the
-// Recorder that records the value.
+// recordValues records the given values in their order. The reflect.Kind of a value determines the method of
+// the Recorder that records the value.
 func recordValues(record *goldentest.Recorder, values ...any) {
 	for _, value := range values {
 		switch reflected := reflect.ValueOf(value); reflected.Kind() {
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -64,8 +64,8 @@
 	}
 }
 
-// TestValidateReportsField checks that the error of Validate contains the path of the invalid setting. The error
-// contains no position, because the settings were not read from a file.
+// TestValidateReportsField checks that the error of Validate contains the path of the invalid setting. The
+// error contains no position, because the settings were not read from a file.
 func TestValidateReportsField(t *testing.T) {
 	for _, test := range []struct {
 		name   string
--- a/internal/config/decode.go
+++ b/internal/config/decode.go
@@ -32,8 +32,8 @@
 func (d *decoder) decode(target any, validate func() error) error {
 	var err error
 	if d.document, err = hujson.Parse(d.text); err != nil {
-		// The message of package hujson contains the line and column of the syntax error, so the fields Line and
-		// Column refer to the start of the file.
+		// The message of package hujson contains the line and column of the syntax error, so the fields Line
+		// and Column refer to the start of the file.
 		return &Error{File: d.file, Line: 1, Column: 1, Message: strings.TrimPrefix(err.Error(), "hujson: ")}
 	}
 	d.positions = map[string]position{"": {valueOffset: d.document.StartOffset}}
--- a/internal/config/duration_test.go
+++ b/internal/config/duration_test.go
@@ -85,8 +85,8 @@
 	}
 }
 
-// TestDurationConversionLimits checks how Duration.Duration converts a Duration that has no exact representation
-// as a time.Duration.
+// TestDurationConversionLimits checks how Duration.Duration converts a Duration that has no exact
+// representation as a time.Duration.
 func TestDurationConversionLimits(t *testing.T) {
 	for _, test := range []struct {
 		name    string
--- a/internal/config/renames.go
+++ b/internal/config/renames.go
@@ -69,8 +69,8 @@
 func removeListIndexes(path string) string { return listIndexPattern.ReplaceAllString(path, "") }
 
 // replaceFormerKey returns the current name of a member of the JSON object at the given path, and records the
-// position of the member. If the member has a former name, replaceFormerKey also records the former name and replaces it
-// by the current name in the parsed document.
+// position of the member. If the member has a former name, replaceFormerKey also records the former name and
+// replaces it by the current name in the parsed document.
 func (d *decoder) replaceFormerKey(member *hujson.ObjectMember, path string) string {
 	written := memberName(member)
 	name := d.renames.currentKey(removeListIndexes(path), written)
--- a/internal/config/renames_test.go
+++ b/internal/config/renames_test.go
@@ -27,8 +27,8 @@
 	return paths
 }
 
-// addSettingPaths adds the path of each setting in a decoded JSON value to the set "paths". The paths contain no
-// list indexes, and each path begins with the given prefix.
+// addSettingPaths adds the path of each setting in a decoded JSON value to the set "paths". The paths contain
+// no list indexes, and each path begins with the given prefix.
 func addSettingPaths(paths map[string]bool, value any, prefix string) {
 	switch typed := value.(type) {
 	case map[string]any:
@@ -130,7 +130,8 @@
 		if _, known := topologyDomains[value.Former]; known {
 			t.Errorf("renamed value of %s: %q is listed as the former form of %q, but is a current topology domain", value.Path, value.Former, value.Current)
 		}
-		// In the table, a value of a setting may occur only once, either as a former value or as a current value.
+		// In the table, a value of a setting may occur only once, either as a former value or as a current
+		// value.
 		checkUnique("value", value.Path+" = "+value.Former)
 		checkUnique("value", value.Path+" = "+value.Current)
 	}
@@ -159,8 +160,8 @@
 	}
 }
 
-// TestMigrationKeepsComments checks that migration changes only the former names and former values in a file, and
-// keeps comments and white space. Each former name and former value must be reported with its position.
+// TestMigrationKeepsComments checks that migration changes only the former names and former values in a file,
+// and keeps comments and white space. Each former name and former value must be reported with its position.
 func TestMigrationKeepsComments(t *testing.T) {
 	const text = `// Head.
 {
@@ -220,9 +221,9 @@
 	}
 }
 
-// TestSettingGivenUnderBothNames checks the error for a setting that occurs twice in a file, once with its former
-// name and once with its current name. The error must contain both names and their lines. If both occurrences
-// have the former name, the error contains this name.
+// TestSettingGivenUnderBothNames checks the error for a setting that occurs twice in a file, once with its
+// former name and once with its current name. The error must contain both names and their lines. If both
+// occurrences have the former name, the error contains this name.
 func TestSettingGivenUnderBothNames(t *testing.T) {
 	checkParseErrors(t, []parseErrorCase{
 		{"setting with its former name and then with its current name", "{\n\"heardWithin\": 1,\n\"nodeSyncTimeout\": 1}",
--- a/internal/config/validate.go
+++ b/internal/config/validate.go
@@ -28,7 +28,8 @@
 	ClusterDomain = "cluster"
 )
 
-// topologyDomains maps the values of Class.DedupDomain and Class.SpreadDomain to the constants of package placer.
+// topologyDomains maps the values of Class.DedupDomain and Class.SpreadDomain to the constants of package
+// placer.
 var topologyDomains = map[string]placer.TopologyDomain{
 	"":            placer.NoDomain,
 	NoDomain:      placer.NoDomain,
--- a/internal/control/admission/admission.go
+++ b/internal/control/admission/admission.go
@@ -1,8 +1,8 @@
 // Package admission decides which placement requests are passed on to the placer when clients request more
 // tasks than the cluster can start. It decides four things: how many requests may be in flight (an adaptive
-// concurrency limit), which request is admitted next (by tenant shares, then by request class, then by priority),
-// which requests are shed because their tasks could no longer start in time, and how many retries are admitted
-// (a retry budget).
+// concurrency limit), which request is admitted next (by tenant shares, then by request class, then by
+// priority), which requests are shed because their tasks could no longer start in time, and how many retries
+// are admitted (a retry budget).
 //
 // Package engine, the core of the scheduler behind the Kubernetes API, owns a Controller. Controller.Submit
 // and Controller.Poll use three unexported types: a fairQueue orders the waiting requests, a limiter holds the
@@ -179,8 +179,8 @@
 	return admitted, shed
 }
 
-// processExpired demotes or sheds each queued request whose expiry time has passed. It returns a ShedRequest for
-// each request that it sheds.
+// processExpired demotes or sheds each queued request whose expiry time has passed. It returns a ShedRequest
+// for each request that it sheds.
 func (c *Controller) processExpired(now placer.Seconds) []ShedRequest {
 	var shed []ShedRequest
 	for entry := c.queue.expiry.earliest(); entry != nil && entry.expiresAt <= now; entry = c.queue.expiry.earliest() {
@@ -222,8 +222,8 @@
 	return ReasonLate
 }
 
-// NextDeadline returns the time by which the caller has to call Poll again, even if no request completes earlier.
-// It returns infinity if no request is queued.
+// NextDeadline returns the time by which the caller has to call Poll again, even if no request completes
+// earlier. It returns infinity if no request is queued.
 func (c *Controller) NextDeadline() placer.Seconds {
 	next := never
 	if c.queue.len() > 0 {
--- a/internal/control/admission/characterization_test.go
+++ b/internal/control/admission/characterization_test.go
@@ -11,9 +11,9 @@
 	"heathshed/placer"
 )
 
-// TestCharacterizeAdmission submits random requests of several tenants to controllers with different settings.
-// It checks that the decisions, each ShedRequest and the state of the controller after each operation agree with
-// a golden file. Floating-point values must be equal bit for bit.
+// TestCharacterizeAdmission submits random requests of several tenants to controllers with different
+// settings. It checks that the decisions, each ShedRequest and the state of the controller after each
+// operation agree with a golden file. Floating-point values must be equal bit for bit.
 //
 // Regenerate the golden file with HEATHSHED_UPDATE_GOLDEN=1 only if the behaviour of package admission is meant
 // to change; package goldentest describes how.
--- a/internal/control/admission/limit.go
+++ b/internal/control/admission/limit.go
@@ -68,8 +68,8 @@
 	}
 }
 
-// hasCapacity reports whether one more request may be in flight. It first calls releaseSlot for each request that
-// has been in flight for as long as its latency objective.
+// hasCapacity reports whether one more request may be in flight. It first calls releaseSlot for each request
+// that has been in flight for as long as its latency objective.
 func (l *limiter) hasCapacity(now placer.Seconds) bool {
 	for len(l.admissionOrder) > 0 {
 		oldest := l.admissionOrder[0]
--- a/internal/control/admission/queue.go
+++ b/internal/control/admission/queue.go
@@ -85,9 +85,9 @@
 // request is admitted first.
 const fifoWaitFraction = 0.4
 
-// selectEntry returns the oldest request in the queue if that request has waited for less than fifoWaitFraction
-// of its latency objective. Otherwise it returns the newest request, because admission in order of arrival would
-// make every task start late under overload. It returns nil if the queue is empty.
+// selectEntry returns the oldest request in the queue if that request has waited for less than
+// fifoWaitFraction of its latency objective. Otherwise it returns the newest request, because admission in
+// order of arrival would make every task start late under overload. It returns nil if the queue is empty.
 func (q *priorityQueue) selectEntry(now placer.Seconds) *queuedRequest {
 	q.trimRemoved()
 	if q.length == 0 {
--- a/internal/control/admission/retry_budget.go
+++ b/internal/control/admission/retry_budget.go
@@ -2,10 +2,10 @@
 
 import "heathshed/placer"
 
-// retryBudget is a token bucket for retries. Each admitted retry takes one token. Tokens are added at a constant
-// rate, and also for each request whose task is placed, until the bucket is full. Few retries are thus admitted
-// while nodes fail, and the number of admitted retries grows with the number of placed tasks when the nodes work
-// again.
+// retryBudget is a token bucket for retries. Each admitted retry takes one token. Tokens are added at a
+// constant rate, and also for each request whose task is placed, until the bucket is full. Few retries are
+// thus admitted while nodes fail, and the number of admitted retries grows with the number of placed tasks
+// when the nodes work again.
 type retryBudget struct {
 	tokens     float64
 	refilledAt placer.Seconds // refilledAt is the time at which tokens were last added at the constant rate.
--- a/internal/control/admission/retry_budget_test.go
+++ b/internal/control/admission/retry_budget_test.go
@@ -104,9 +104,10 @@
 	}
 }
 
-// TestRetryBudgetRecovers simulates a fault during which no node accepts a task. It checks that the tasks of many
-// waiting retries are placed soon after the fault, even if no first attempts arrive. This is possible only if
-// each retry whose task is placed adds tokens to the retry budget, because Config.RetryRate alone adds too few.
+// TestRetryBudgetRecovers simulates a fault during which no node accepts a task. It checks that the tasks of
+// many waiting retries are placed soon after the fault, even if no first attempts arrive. This is possible
+// only if each retry whose task is placed adds tokens to the retry budget, because Config.RetryRate alone
+// adds too few.
 func TestRetryBudgetRecovers(t *testing.T) {
 	const start, faultDuration placer.Seconds = 1, 30
 	controller := newController(t)
--- a/internal/control/admission/shares.go
+++ b/internal/control/admission/shares.go
@@ -51,8 +51,8 @@
 
 func (q *fairQueue) len() int { return len(q.byID) }
 
-// tenantByNumber returns the queue of the tenant with the given number. If the number is out of range, it returns
-// the queue of tenant 0.
+// tenantByNumber returns the queue of the tenant with the given number. If the number is out of range, it
+// returns the queue of tenant 0.
 func (q *fairQueue) tenantByNumber(number int) *tenantQueue {
 	if number < 0 || number >= len(q.tenants) {
 		number = 0
--- a/internal/control/admission/shedding.go
+++ b/internal/control/admission/shedding.go
@@ -21,14 +21,14 @@
 	ReasonRetryBudget = "the retry budget is used up"
 )
 
-// maxRetryAfter is the upper bound of ShedRequest.RetryAfter before it is multiplied by one of the factors that
-// retryAfterSteps describes. The admission rate during a fault does not predict the rate after the fault. With a
-// longer delay, a client would submit its next request long after capacity is available again.
+// maxRetryAfter is the upper bound of ShedRequest.RetryAfter before it is multiplied by one of the factors
+// that retryAfterSteps describes. The admission rate during a fault does not predict the rate after the
+// fault. With a longer delay, a client would submit its next request long after capacity is available again.
 const maxRetryAfter placer.Seconds = 15
 
-// retryAfterSteps is the number of distinct factors between 0.75 and 1.25 of which newShedRequest selects one for
-// each ShedRequest.RetryAfter. Two requests that are shed one after the other get different factors. Otherwise,
-// clients whose requests are shed together would retry in synchronized waves.
+// retryAfterSteps is the number of distinct factors between 0.75 and 1.25 of which newShedRequest selects one
+// for each ShedRequest.RetryAfter. Two requests that are shed one after the other get different factors.
+// Otherwise, clients whose requests are shed together would retry in synchronized waves.
 const retryAfterSteps = 16
 
 // newShedRequest returns the ShedRequest for the request with the given ID. Its RetryAfter is roughly the time
--- a/internal/control/clock/clock.go
+++ b/internal/control/clock/clock.go
@@ -53,7 +53,8 @@
 func (i Instant) UnixMicro() int64 { return int64(i) / int64(time.Microsecond) }
 
 // UnixSeconds returns the number of seconds from the Unix epoch to the instant, in the floating-point type
-// with which the schedulers compute. For present-day times, the result has a precision of about 240 nanoseconds.
+// with which the schedulers compute. For present-day times, the result has a precision of about 240
+// nanoseconds.
 func (i Instant) UnixSeconds() placer.Seconds {
 	whole := i / Instant(time.Second)
 	remainder := i % Instant(time.Second)
--- a/internal/control/clock/clock_test.go
+++ b/internal/control/clock/clock_test.go
@@ -40,8 +40,8 @@
 }
 
 // TestFromUnixSecondsIsClamped checks that the time infinity, which means "never", is converted to the latest
-// instant. It also checks that the sum of the latest instant and a duration does not overflow. It checks the same
-// for minus infinity and the earliest instant.
+// instant. It also checks that the sum of the latest instant and a duration does not overflow. It checks the
+// same for minus infinity and the earliest instant.
 func TestFromUnixSecondsIsClamped(t *testing.T) {
 	never := clock.FromUnixSeconds(placer.Seconds(math.Inf(1)))
 	if never != math.MaxInt64 || never.Add(time.Hour) != never {
--- a/internal/control/connpool/characterization_test.go
+++ b/internal/control/connpool/characterization_test.go
@@ -13,9 +13,10 @@
 	"heathshed/placer"
 )
 
-// TestCharacterization checks the decisions of Policy and MultiplexedPolicy, and the node statuses that Reachability
-// determines. It compares them with a golden file. The policies receive all combinations of selected values, and
-// Reachability receives random events. Package goldentest describes how the golden file is regenerated.
+// TestCharacterization checks the decisions of Policy and MultiplexedPolicy, and the node statuses that
+// Reachability determines. It compares them with a golden file. The policies receive all combinations of
+// selected values, and Reachability receives random events. Package goldentest describes how the golden file
+// is regenerated.
 func TestCharacterization(t *testing.T) {
 	record := goldentest.NewRecorder()
 	record.Line("%s", describeDefaults())
@@ -107,8 +108,8 @@
 	return results.String()
 }
 
-// digestNodeStatuses records random messages and failed dials in a Reachability. After each step, it determines the
-// node status for several later times. It returns a digest of all these node statuses.
+// digestNodeStatuses records random messages and failed dials in a Reachability. After each step, it
+// determines the node status for several later times. It returns a digest of all these node statuses.
 func digestNodeStatuses(seed uint64) string {
 	rng := rand.New(rand.NewPCG(seed, 5))
 	var statuses strings.Builder
--- a/internal/control/connpool/keepalive.go
+++ b/internal/control/connpool/keepalive.go
@@ -9,9 +9,9 @@
 // MultiplexedPolicy decides when a health check is sent on a connection to a node, and when the connection is
 // closed. It applies to connections that carry many requests at a time.
 //
-// A health check is a message that a node answers at once, even if it is busy. If no answer arrives, the connection
-// no longer works, although it is still open. If an answer arrives, the connection works, and a slow node will still
-// answer the pending requests.
+// A health check is a message that a node answers at once, even if it is busy. If no answer arrives, the
+// connection no longer works, although it is still open. If an answer arrives, the connection works, and a
+// slow node will still answer the pending requests.
 type MultiplexedPolicy struct {
 	MaxIdle            time.Duration // MaxIdle is the time since the last request after which a connection is closed if that loses no message; 0 means never.
 	HealthCheckAfter   time.Duration // HealthCheckAfter is the time without traffic after which a health check is sent if the node still has to send a message.
--- a/internal/control/decodelimit/characterization_test.go
+++ b/internal/control/decodelimit/characterization_test.go
@@ -19,8 +19,8 @@
 // inputs are just below a limit, some at the limit and some just above it. Others are random mutations of these
 // inputs. The results include the error messages, because clients receive them.
 //
-// Regenerate the golden file with HEATHSHED_UPDATE_GOLDEN=1 only if the behaviour of package decodelimit is meant
-// to change; package goldentest describes how.
+// Regenerate the golden file with HEATHSHED_UPDATE_GOLDEN=1 only if the behaviour of package decodelimit is
+// meant to change; package goldentest describes how.
 func TestCharacterization(t *testing.T) {
 	objectLimits := decodelimit.ObjectLimits()
 	record := goldentest.NewRecorder()
@@ -101,8 +101,8 @@
 		`{"value":{"y":["1e999"]},"x":"1e999"}`, `{"value" "1e999"}`, `}{"a":"1e999"}`, `[]]]]{"a":1}`)
 }
 
-// protoMessages returns protobuf messages, some of which are nested or truncated. Their fields contain quantities as
-// strings and numbers of several wire types.
+// protoMessages returns protobuf messages, some of which are nested or truncated. Their fields contain
+// quantities as strings and numbers of several wire types.
 func protoMessages() [][]byte {
 	var messages [][]byte
 	for _, quantity := range quantities {
--- a/internal/control/decodelimit/decodelimit_test.go
+++ b/internal/control/decodelimit/decodelimit_test.go
@@ -8,9 +8,9 @@
 	"k8s.io/apimachinery/pkg/types"
 )
 
-// TestCheckQuantity checks that CheckQuantity rejects quantities that exceed a limit and accepts any text that is
-// not a quantity. A UID can begin like a number with a large exponent. If CheckQuantity rejected such a UID, the
-// scheduler would not learn of a Pod that already runs a task.
+// TestCheckQuantity checks that CheckQuantity rejects quantities that exceed a limit and accepts any text
+// that is not a quantity. A UID can begin like a number with a large exponent. If CheckQuantity rejected such
+// a UID, the scheduler would not learn of a Pod that already runs a task.
 func TestCheckQuantity(t *testing.T) {
 	limits := ObjectLimits()
 	for _, test := range []struct {
--- a/internal/control/decodelimit/json.go
+++ b/internal/control/decodelimit/json.go
@@ -4,8 +4,8 @@
 // of Limits.Depth counts as maxNesting.
 const maxNesting = 1023
 
-// nonQuantityFields contains the names of object members whose values never contain quantities. Such a value is a
-// string, or an object or array of strings. CheckJSON does not check these strings as quantities.
+// nonQuantityFields contains the names of object members whose values never contain quantities. Such a value
+// is a string, or an object or array of strings. CheckJSON does not check these strings as quantities.
 var nonQuantityFields = map[string]bool{
 	"annotations":  true,
 	"args":         true,
@@ -20,8 +20,9 @@
 	"values":       true,
 }
 
-// CheckJSON checks a JSON text and returns an *Error if the text exceeds a limit. CheckJSON does not validate the
-// JSON syntax, because the decoder does so later. A text for which CheckJSON returns nil is safe to decode.
+// CheckJSON checks a JSON text and returns an *Error if the text exceeds a limit. CheckJSON does not validate
+// the JSON syntax, because the decoder does so later. A text for which CheckJSON returns nil is safe to
+// decode.
 func CheckJSON(text []byte, limits Limits) error {
 	if err := limits.checkBytes(text); err != nil {
 		return err
--- a/internal/control/decodelimit/limits.go
+++ b/internal/control/decodelimit/limits.go
@@ -60,8 +60,8 @@
 	return fmt.Sprintf("%s at byte %d: at most %d", e.Violation, e.Offset, e.Limit)
 }
 
-// TooLarge reports whether the exceeded limit is Limits.Bytes or Limits.Values, which limit the size of the input.
-// The other limits apply to the structure of the input and to its numbers.
+// TooLarge reports whether the exceeded limit is Limits.Bytes or Limits.Values, which limit the size of the
+// input. The other limits apply to the structure of the input and to its numbers.
 func (e *Error) TooLarge() bool { return e.Violation == TooManyBytes || e.Violation == TooManyValues }
 
 // checkBytes returns an error if the input is longer than Limits.Bytes.
--- a/internal/control/decodelimit/proto.go
+++ b/internal/control/decodelimit/proto.go
@@ -5,9 +5,10 @@
 // anyFieldNumber is passed as a field number where only the wire type of the field matters.
 const anyFieldNumber = 1
 
-// CheckProto checks a protobuf message and returns an *Error if the message exceeds a limit. CheckProto has no
-// schema, so it cannot distinguish a string from a nested message. It checks the content of each length-delimited
-// field as a quantity, and also as a nested message if the content has the form of a message.
+// CheckProto checks a protobuf message and returns an *Error if the message exceeds a limit. CheckProto has
+// no schema, so it cannot distinguish a string from a nested message. It checks the content of each
+// length-delimited field as a quantity, and also as a nested message if the content has the form of a
+// message.
 func CheckProto(message []byte, limits Limits) error {
 	if err := limits.checkBytes(message); err != nil {
 		return err
@@ -55,8 +56,9 @@
 	return true, err
 }
 
-// checkField counts one field of a message as a value. If the field is length-delimited, checkField also checks the
-// content of the field as a quantity and as a nested message. For any other field, the argument content is empty.
+// checkField counts one field of a message as a value. If the field is length-delimited, checkField also
+// checks the content of the field as a quantity and as a nested message. For any other field, the argument
+// content is empty.
 func (s *messageScanner) checkField(content []byte, depth, offset int) *Error {
 	if err := s.limits.countValue(&s.valueCount, offset); err != nil {
 		return err
--- a/internal/control/decodelimit/quantity.go
+++ b/internal/control/decodelimit/quantity.go
@@ -3,19 +3,20 @@
 import "bytes"
 
 const (
-	// maxUnitLength is the length of the longest unit of a quantity, in bytes. If a longer text follows the digits
-	// in a string, the string is not a quantity but, for example, a UID.
+	// maxUnitLength is the length of the longest unit of a quantity, in bytes. If a longer text follows the
+	// digits in a string, the string is not a quantity but, for example, a UID.
 	maxUnitLength = 3
-	// maxParsedExponent replaces a greater exponent when the exponent is parsed, which prevents an integer overflow.
+	// maxParsedExponent replaces a greater exponent when the exponent is parsed, which prevents an integer
+	// overflow.
 	maxParsedExponent = 1 << 30
-	// maxUnescapedLength is the greatest length, in bytes, of the text that results from decoding the JSON escapes
-	// of a quantity. A quantity with escapes is rejected if that text is longer.
+	// maxUnescapedLength is the greatest length, in bytes, of the text that results from decoding the JSON
+	// escapes of a quantity. A quantity with escapes is rejected if that text is longer.
 	maxUnescapedLength = 256
 )
 
-// CheckQuantity checks a string or number that the caller possibly decodes as a resource quantity, such as 1e3 or
-// 500m. It returns nil if the text is not a quantity. CheckQuantity also checks a quantity whose characters are
-// written as JSON escapes.
+// CheckQuantity checks a string or number that the caller possibly decodes as a resource quantity, such as
+// 1e3 or 500m. It returns nil if the text is not a quantity. CheckQuantity also checks a quantity whose
+// characters are written as JSON escapes.
 func CheckQuantity(text []byte, limits Limits) *Error { return checkQuantity(text, &limits) }
 
 // checkQuantityAt checks a quantity that begins at the given offset of the input. The offset in the returned
@@ -96,8 +97,8 @@
 
 func isLetter(c byte) bool { return c|32 >= 'a' && c|32 <= 'z' }
 
-// checkEscapedQuantity decodes the JSON escapes of a quantity and checks the resulting text. It rejects the quantity
-// if the resulting text is longer than maxUnescapedLength.
+// checkEscapedQuantity decodes the JSON escapes of a quantity and checks the resulting text. It rejects the
+// quantity if the resulting text is longer than maxUnescapedLength.
 func checkEscapedQuantity(text []byte, limits *Limits) *Error {
 	var buffer [maxUnescapedLength]byte
 	n, ok := unescape(&buffer, text)
@@ -107,10 +108,10 @@
 	return checkQuantity(buffer[:n], limits)
 }
 
-// unescape decodes the JSON escapes of a text, writes the resulting text to the buffer, and returns the length of
-// the resulting text. The result ok is false if the resulting text does not fit into the buffer. The caller needs
-// only ASCII digits, signs and letters. An escape of another character can be decoded to a different character that
-// occurs in no quantity, but never to a backslash.
+// unescape decodes the JSON escapes of a text, writes the resulting text to the buffer, and returns the
+// length of the resulting text. The result ok is false if the resulting text does not fit into the buffer.
+// The caller needs only ASCII digits, signs and letters. An escape of another character can be decoded to a
+// different character that occurs in no quantity, but never to a backslash.
 func unescape(buffer *[maxUnescapedLength]byte, text []byte) (n int, ok bool) {
 	for i := 0; i < len(text); n++ {
 		if n == len(buffer) {
--- a/internal/control/eventqueue/characterization_test.go
+++ b/internal/control/eventqueue/characterization_test.go
@@ -12,9 +12,9 @@
 	"heathshed/placer"
 )
 
-// TestCharacterization checks the order in which a queue passes events to the placer and executes actions, and the
-// results of TimerDelay. It compares both with a golden file. For some actions, Queue.Execute posts further events
-// and calls Queue.Run. Package goldentest describes how the golden file is regenerated.
+// TestCharacterization checks the order in which a queue passes events to the placer and executes actions,
+// and the results of TimerDelay. It compares both with a golden file. For some actions, Queue.Execute posts
+// further events and calls Queue.Run. Package goldentest describes how the golden file is regenerated.
 func TestCharacterization(t *testing.T) {
 	record := goldentest.NewRecorder()
 	for seed := uint64(1); seed <= 10; seed++ {
@@ -42,8 +42,9 @@
 	return actions
 }
 
-// runRandomEvents posts a random number of events in each of 40 steps. It returns a text that lists all events and
-// actions in the order in which the queue passed the events to the placer and executed the actions.
+// runRandomEvents posts a random number of events in each of 40 steps. It returns a text that lists all
+// events and actions in the order in which the queue passed the events to the placer and executed the
+// actions.
 func runRandomEvents(seed uint64) string {
 	rng := rand.New(rand.NewPCG(seed, 4))
 	var order strings.Builder
--- a/internal/control/eventqueue/eventqueue.go
+++ b/internal/control/eventqueue/eventqueue.go
@@ -8,10 +8,10 @@
 
 import "heathshed/placer"
 
-// MinDelay is the shortest delay of a timer. Present-day times, as floating-point seconds since the Unix epoch, are
-// multiples of 2.4e-7 s. If a shorter delay is added to such a time, the sum can be rounded to the same time. A
-// placer that waits for a deadline less than 2.4e-7 s away would then set a timer that fires at the current time,
-// and would do so again and again.
+// MinDelay is the shortest delay of a timer. Present-day times, as floating-point seconds since the Unix
+// epoch, are multiples of 2.4e-7 s. If a shorter delay is added to such a time, the sum can be rounded to the
+// same time. A placer that waits for a deadline less than 2.4e-7 s away would then set a timer that fires at
+// the current time, and would do so again and again.
 const MinDelay placer.Seconds = 1e-6
 
 // Placer makes the placement decisions. Tests replace the *placer.Placer with another implementation.
--- a/internal/control/memquota/budget.go
+++ b/internal/control/memquota/budget.go
@@ -2,8 +2,8 @@
 
 import "heathshed/internal/control/clock"
 
-// MinAllowance is the number of bytes that may always be allocated for a connection that uses no memory yet. One
-// small event or response is therefore sent without waiting until other connections free memory.
+// MinAllowance is the number of bytes that may always be allocated for a connection that uses no memory yet.
+// One small event or response is therefore sent without waiting until other connections free memory.
 const MinAllowance = 4 << 10
 
 // Budget is an amount of memory, in bytes, that several connections share. The zero value is not usable; New
--- a/internal/control/memquota/characterization_test.go
+++ b/internal/control/memquota/characterization_test.go
@@ -12,11 +12,11 @@
 	"heathshed/internal/testsupport/goldentest"
 )
 
-// TestCharacterization compares the results of Divide, of SelectEviction and of the methods of Budget with a golden
-// file. Random generators with fixed seeds choose the method calls and the candidates for eviction.
+// TestCharacterization compares the results of Divide, of SelectEviction and of the methods of Budget with a
+// golden file. Random generators with fixed seeds choose the method calls and the candidates for eviction.
 //
-// Regenerate the golden file with HEATHSHED_UPDATE_GOLDEN=1 only if the behaviour of package memquota is meant to
-// change; package goldentest describes how.
+// Regenerate the golden file with HEATHSHED_UPDATE_GOLDEN=1 only if the behaviour of package memquota is
+// meant to change; package goldentest describes how.
 func TestCharacterization(t *testing.T) {
 	record := goldentest.NewRecorder()
 	record.Line("bounds %d %d", memquota.MinAllowance, memquota.MinMemory)
--- a/internal/control/memquota/memquota.go
+++ b/internal/control/memquota/memquota.go
@@ -7,16 +7,17 @@
 // SelectEviction selects the connection to close when connection slots, rather than bytes, run out.
 //
 // A connection whose allocations can be deferred, such as one on which a watch sends changes, may use at most
-// as much memory as is still free. This rule is the dynamic threshold of Choudhury and Hahne, "Dynamic queue length
-// thresholds for shared-memory packet switches", 1998. If each of n connections uses as much memory as it may,
-// each uses a fraction of 1/(n+1) of the total, so some memory always remains for the next connection.
+// as much memory as is still free. This rule is the dynamic threshold of Choudhury and Hahne, "Dynamic queue
+// length thresholds for shared-memory packet switches", 1998. If each of n connections uses as much memory as
+// it may, each uses a fraction of 1/(n+1) of the total, so some memory always remains for the next
+// connection.
 //
 // An allocation that cannot be deferred, such as the body of a request, is made first and reported to the
-// Budget afterwards. If the connections then use more than the total, connections are evicted until the remaining
-// connections use at most the total. Let m be the memory of the connection that uses the most memory. Only a
-// connection that uses more than m/2 can be evicted. Of these connections, the one whose memory has not decreased
-// for the longest time is evicted first. A connection is therefore never evicted while another connection uses
-// more than twice as much memory.
+// Budget afterwards. If the connections then use more than the total, connections are evicted until the
+// remaining connections use at most the total. Let m be the memory of the connection that uses the most
+// memory. Only a connection that uses more than m/2 can be evicted. Of these connections, the one whose
+// memory has not decreased for the longest time is evicted first. A connection is therefore never evicted
+// while another connection uses more than twice as much memory.
 package memquota
 
 // Shares holds the number of bytes that each part of the program may use.
@@ -30,8 +31,8 @@
 // smaller amount with MinMemory.
 const MinMemory = 64 << 20
 
-// Divide splits the given number of bytes among the parts of the program. If the number is below MinMemory, Divide
-// splits MinMemory instead. The sum of the shares is at most the number that Divide splits.
+// Divide splits the given number of bytes among the parts of the program. If the number is below MinMemory,
+// Divide splits MinMemory instead. The sum of the shares is at most the number that Divide splits.
 func Divide(memory int64) Shares {
 	memory = max(memory, MinMemory)
 	shares := Shares{Connections: memory / 16, History: memory / 8}
--- a/internal/control/memquota/memquota_test.go
+++ b/internal/control/memquota/memquota_test.go
@@ -35,8 +35,8 @@
 	})
 }
 
-// budgetModel is a budget whose connections allocate random amounts of memory. It also records, independently of
-// the budget, how much memory each connection uses.
+// budgetModel is a budget whose connections allocate random amounts of memory. It also records, independently
+// of the budget, how much memory each connection uses.
 type budgetModel struct {
 	*rapid.T
 	budget   *Budget
@@ -125,8 +125,9 @@
 	}
 }
 
-// TestDynamicThresholdAvoidsEvictions simulates 4000 connections that repeatedly allocate memory while memory is
-// available to them. It checks that the connections use most of the total, and that none has to be evicted.
+// TestDynamicThresholdAvoidsEvictions simulates 4000 connections that repeatedly allocate memory while memory
+// is available to them. It checks that the connections use most of the total, and that none has to be
+// evicted.
 func TestDynamicThresholdAvoidsEvictions(t *testing.T) {
 	const connectionCount = uint64(4000)
 	budget := New(128 << 20)
--- a/internal/control/retry/backoff.go
+++ b/internal/control/retry/backoff.go
@@ -2,8 +2,8 @@
 
 import "heathshed/placer"
 
-// backoffJitterRange is the difference between the longest and the shortest delay with jitter, as a fraction of the
-// delay without jitter. The delay without jitter is halfway between these two delays.
+// backoffJitterRange is the difference between the longest and the shortest delay with jitter, as a fraction
+// of the delay without jitter. The delay without jitter is halfway between these two delays.
 const backoffJitterRange = 0.5
 
 // Backoff computes the delay before a failed call is repeated. The delay without jitter starts at Min and
--- a/internal/control/retry/backoff_characterization_test.go
+++ b/internal/control/retry/backoff_characterization_test.go
@@ -10,9 +10,9 @@
 	"heathshed/placer"
 )
 
-// TestCharacterizeBackoff compares the delays that Backoff.Next returns with a golden file. The delays must be equal
-// bit for bit. The test covers several values of Backoff.Min, of Backoff.Max and of the jitter, and calls
-// Backoff.Reset once for each combination of values.
+// TestCharacterizeBackoff compares the delays that Backoff.Next returns with a golden file. The delays must
+// be equal bit for bit. The test covers several values of Backoff.Min, of Backoff.Max and of the jitter, and
+// calls Backoff.Reset once for each combination of values.
 //
 // Regenerate the golden file with HEATHSHED_UPDATE_GOLDEN=1 only if the behaviour of package retry is meant to
 // change; package goldentest describes how.
--- a/internal/control/retry/characterization_test.go
+++ b/internal/control/retry/characterization_test.go
@@ -10,9 +10,9 @@
 	"heathshed/placer"
 )
 
-// TestCharacterizePolicy compares the results of Policy.Next and Policy.MaxWait for several policies with a golden
-// file. Floating-point values must be equal bit for bit. The states that the test passes to Policy.Next are drawn
-// from a seeded random generator and cover every placer.Idempotency and every Cause.
+// TestCharacterizePolicy compares the results of Policy.Next and Policy.MaxWait for several policies with a
+// golden file. Floating-point values must be equal bit for bit. The states that the test passes to
+// Policy.Next are drawn from a seeded random generator and cover every placer.Idempotency and every Cause.
 //
 // Regenerate the golden file with HEATHSHED_UPDATE_GOLDEN=1 only if the behaviour of package retry is meant to
 // change; package goldentest describes how.
--- a/internal/control/retry/policy.go
+++ b/internal/control/retry/policy.go
@@ -10,8 +10,8 @@
 	minJitterFactor   = 0.7
 	jitterFactorRange = 0.6
 
-	// After a shed request, jitter lengthens the delay by at most the fraction maxShedJitter. Jitter never shortens
-	// this delay, because the scheduler advised the client to wait at least that long.
+	// After a shed request, jitter lengthens the delay by at most the fraction maxShedJitter. Jitter never
+	// shortens this delay, because the scheduler advised the client to wait at least that long.
 	maxShedJitter = 0.5
 )
 
@@ -69,9 +69,9 @@
 )
 
 // Next returns the next step of the client for a task. For RetryAt, stepTime is the time at which the client
-// requests placement again. For AwaitOutcome, it is the time at which the client stops waiting. For Reject and
-// Fail, it is state.Now. Next never returns RetryAt for a task that is not idempotent if the task possibly ran in
-// an earlier attempt.
+// requests placement again. For AwaitOutcome, it is the time at which the client stops waiting. For Reject
+// and Fail, it is state.Now. Next never returns RetryAt for a task that is not idempotent if the task
+// possibly ran in an earlier attempt.
 func (p *Policy) Next(state State) (decision Decision, stepTime placer.Seconds) {
 	if state.Idempotency != placer.Idempotent && state.retryMayStartTaskTwice() {
 		return state.awaitOutcomeOrFail()
@@ -89,8 +89,8 @@
 // retryMayStartTaskTwice reports whether a retry could start the task a second time.
 func (s *State) retryMayStartTaskTwice() bool { return s.MayHaveRun || s.OutcomeUnknown }
 
-// awaitOutcomeOrFail returns AwaitOutcome if the client can still learn the unknown outcome of an attempt before
-// State.Deadline, and Fail otherwise.
+// awaitOutcomeOrFail returns AwaitOutcome if the client can still learn the unknown outcome of an attempt
+// before State.Deadline, and Fail otherwise.
 func (s *State) awaitOutcomeOrFail() (Decision, placer.Seconds) {
 	if !s.MayHaveRun && s.Now < s.Deadline {
 		return AwaitOutcome, s.Deadline
@@ -135,8 +135,8 @@
 }
 
 // MaxWait returns the longest time between the first request of a client for a task and the final answer. It
-// assumes that the client makes at most maxRetries retries, and that the scheduler answers the first request and
-// each retry within requestTimeout.
+// assumes that the client makes at most maxRetries retries, and that the scheduler answers the first request
+// and each retry within requestTimeout.
 func (p *Policy) MaxWait(requestTimeout placer.Seconds, maxRetries int) placer.Seconds {
 	total := requestTimeout
 	for i := range maxRetries {
--- a/internal/control/timerqueue/characterization_test.go
+++ b/internal/control/timerqueue/characterization_test.go
@@ -11,9 +11,9 @@
 	"heathshed/internal/testsupport/goldentest"
 )
 
-// TestCharacterization checks the order in which a queue returns random timers, and compares it with a golden file.
-// Many timers have equal times, some timers are stopped, and some timers are added between two calls of Queue.Pop.
-// Package goldentest describes how the golden file is regenerated.
+// TestCharacterization checks the order in which a queue returns random timers, and compares it with a golden
+// file. Many timers have equal times, some timers are stopped, and some timers are added between two calls of
+// Queue.Pop. Package goldentest describes how the golden file is regenerated.
 func TestCharacterization(t *testing.T) {
 	record := goldentest.NewRecorder()
 	for seed := uint64(1); seed <= 20; seed++ {
--- a/internal/platform/server/shutdown.go
+++ b/internal/platform/server/shutdown.go
@@ -86,9 +86,9 @@
 	return s.core.RunningTasks() > 0 && len(s.clients.byID) > 0
 }
 
-// awaitClientsClosed completes the shutdown when all clients have closed their connections, or when the deadline
-// has passed. If the process ended while data from a client was unread, the kernel would reset the connection
-// of this client. The client would then lose the answers that it has not read yet.
+// awaitClientsClosed completes the shutdown when all clients have closed their connections, or when the
+// deadline has passed. If the process ended while data from a client was unread, the kernel would reset the
+// connection of this client. The client would then lose the answers that it has not read yet.
 func (stop *shutdown) awaitClientsClosed(deadline clock.Instant) {
 	s := stop.server
 	if len(s.clients.byID) > 0 && s.loop.Now() < deadline {
--- a/internal/simbridge/simadapter/characterization_test.go
+++ b/internal/simbridge/simadapter/characterization_test.go
@@ -1,10 +1,10 @@
 package simadapter_test
 
-// These characterization tests detect changes in the replies of the adapter. A fake simulator reads each reply, executes
-// its actions and builds the next batch from the results. The golden file of a run consists of checkpoints. A checkpoint is
-// a line with the number of replies, the numbers of actions by kind and a SHA-256 digest of all replies up to that point.
-// The first checkpoint that differs shows between which batches a change occurred. Package goldentest documents how golden
-// files are compared and written.
+// These characterization tests detect changes in the replies of the adapter. A fake simulator reads each
+// reply, executes its actions and builds the next batch from the results. The golden file of a run consists
+// of checkpoints. A checkpoint is a line with the number of replies, the numbers of actions by kind and a
+// SHA-256 digest of all replies up to that point. The first checkpoint that differs shows between which
+// batches a change occurred. Package goldentest documents how golden files are compared and written.
 
 import (
 	"bytes"
@@ -23,8 +23,8 @@
 	"heathshed/internal/testsupport/simwire"
 )
 
-// With pushDiscoverySettings, discovery pushes node lists. With consolidatingSettings, the scheduler polls node lists, and
-// each node in use has a cost. The node lists contain the free capacity in both cases.
+// With pushDiscoverySettings, discovery pushes node lists. With consolidatingSettings, the scheduler polls
+// node lists, and each node in use has a cost. The node lists contain the free capacity in both cases.
 const (
 	pushDiscoverySettings = `{"discovery":"push","me":0,"myZone":0,"peersTotal":2,
  "extra":{"admitMemory":1.5,"apartBy":["none","cell"],"classKind":[-1,-1],"coresByKind":[8,16],"counts":"used","cpuBooking":2,
@@ -56,8 +56,8 @@
 	record []byte
 }
 
-// fakeSimulator replaces the simulator as the input and output of the adapter. Read returns the next batch, and Write
-// receives the reply to the previous batch.
+// fakeSimulator replaces the simulator as the input and output of the adapter. Read returns the next batch,
+// and Write receives the reply to the previous batch.
 type fakeSimulator struct {
 	rng          *rand.Rand
 	now          float64
@@ -85,8 +85,8 @@
 	return n, nil
 }
 
-// nextBatch returns a batch of the scheduled records that are due, new tasks and node lists. Some batches also contain
-// records that the adapter ignores.
+// nextBatch returns a batch of the scheduled records that are due, new tasks and node lists. Some batches
+// also contain records that the adapter ignores.
 func (sim *fakeSimulator) nextBatch() []byte {
 	sim.batchNumber++
 	sim.now += 0.1 * sim.rng.Float64()
@@ -120,8 +120,8 @@
 // nodeAddress returns the address of the node with the given index.
 func nodeAddress(i int) [6]byte { return [6]byte{10, 0, byte(i / 5), byte(i), 1, 2} }
 
-// defineListRecord returns an EventDefineList record, which defines node list 2 with twenty nodes. Some of the nodes are
-// draining, have terminated or started 0.5 s ago.
+// defineListRecord returns an EventDefineList record, which defines node list 2 with twenty nodes. Some of
+// the nodes are draining, have terminated or started 0.5 s ago.
 func (sim *fakeSimulator) defineListRecord() []byte {
 	var entries []byte
 	const count = 20
@@ -140,13 +140,15 @@
 	return append(simwire.Record(uint8(16), uint8(2), uint32(count)), entries...)
 }
 
-// nodesListedRecord returns an EventNodesListed record, which passes node list 2 to the instance as a list of a random kind.
+// nodesListedRecord returns an EventNodesListed record, which passes node list 2 to the instance as a list of
+// a random kind.
 func (sim *fakeSimulator) nodesListedRecord(instance uint32) []byte {
 	listKinds := []uint8{0, 1, 2, 4, 4, 4}
 	return simwire.Record(uint8(26), instance, listKinds[sim.rng.IntN(len(listKinds))], sim.batchNumber, uint8(2))
 }
 
-// taskRecord returns the record of a new task, which is either a placement request or the adoption of a running task.
+// taskRecord returns the record of a new task, which is either a placement request or the adoption of a
+// running task.
 func (sim *fakeSimulator) taskRecord(instance uint32) []byte {
 	sim.lastTaskID++
 	class := uint16(sim.rng.IntN(2))
@@ -163,8 +165,8 @@
 		uint8(sim.rng.IntN(32)))
 }
 
-// unmatchedRecords returns records for scheduler instances, tasks and timers that do not exist, records with event codes
-// that the adapter does not use, and the start and stop of scheduler instance 5.
+// unmatchedRecords returns records for scheduler instances, tasks and timers that do not exist, records with
+// event codes that the adapter does not use, and the start and stop of scheduler instance 5.
 func (sim *fakeSimulator) unmatchedRecords() [][]byte {
 	address := nodeAddress(3)
 	return [][]byte{
@@ -183,9 +185,9 @@
 	sim.scheduled = append(sim.scheduled, scheduledRecord{sim.now + delaySeconds, record})
 }
 
-// Write receives one reply and executes its actions. Every batchesPerCheckpoint replies, it adds a checkpoint to the text
-// for the golden file. In that text, an offer is a StartAttempt action, a refusal is a Reject action, and a move is a
-// Migrate action.
+// Write receives one reply and executes its actions. Every batchesPerCheckpoint replies, it adds a checkpoint
+// to the text for the golden file. In that text, an offer is a StartAttempt action, a refusal is a Reject
+// action, and a move is a Migrate action.
 func (sim *fakeSimulator) Write(reply []byte) (int, error) {
 	sim.digest.Write(reply)
 	sim.replyCount++
@@ -197,8 +199,8 @@
 	return len(reply), nil
 }
 
-// executeActions reads the actions of a reply and schedules the event records that result from them. The numbers in its
-// cases are the action codes of package simproto.
+// executeActions reads the actions of a reply and schedules the event records that result from them. The
+// numbers in its cases are the action codes of package simproto.
 func (sim *fakeSimulator) executeActions(actions []byte) {
 	for len(actions) > 0 {
 		code, instance := actions[0], binary.LittleEndian.Uint32(actions[1:])
@@ -230,8 +232,9 @@
 	}
 }
 
-// scheduleAttemptOutcome schedules a random outcome of an attempt. A StartAttempt action does not contain the number of the
-// attempt. For this reason, an attempt that is not bound gets one outcome for each of four attempt numbers.
+// scheduleAttemptOutcome schedules a random outcome of an attempt. A StartAttempt action does not contain the
+// number of the attempt. For this reason, an attempt that is not bound gets one outcome for each of four
+// attempt numbers.
 func (sim *fakeSimulator) scheduleAttemptOutcome(instance uint32, taskID uint64, node [6]byte) {
 	statuses := []uint16{0, 255, 254, 254, 253, 252, 251, 250, 249}
 	scheduleEnd := func(delaySeconds float64, attempt int) {
@@ -253,8 +256,8 @@
 	}
 }
 
-// loadValues returns the values of a load report. Their number can be smaller or larger than the number of report fields
-// in the settings of the instance.
+// loadValues returns the values of a load report. Their number can be smaller or larger than the number of
+// report fields in the settings of the instance.
 func (sim *fakeSimulator) loadValues(instance uint32, node [6]byte) []float32 {
 	nodeCores := float32(8 * (1 + node[3]%2))
 	freeCores, freeMemory, utilization := nodeCores*(0.8+0.1*sim.rng.Float32()), 2*nodeCores*(0.8+0.1*sim.rng.Float32()), 0.3*sim.rng.Float32()
@@ -280,8 +283,8 @@
 	goldentest.CheckText(t, "run", simulator.checkpoints.String())
 }
 
-// TestCharacterizationOfRejectedInput pins which list kinds, list numbers and attempt outcomes the adapter rejects. The
-// golden file contains 1 for a rejected value and 0 for an accepted value.
+// TestCharacterizationOfRejectedInput pins which list kinds, list numbers and attempt outcomes the adapter
+// rejects. The golden file contains 1 for a rejected value and 0 for an accepted value.
 func TestCharacterizationOfRejectedInput(t *testing.T) {
 	var text strings.Builder
 	writeRejected := func(testedRecord []byte) {
--- a/internal/simbridge/simadapter/equivalence_drivers_test.go
+++ b/internal/simbridge/simadapter/equivalence_drivers_test.go
@@ -12,8 +12,8 @@
 	"heathshed/placer"
 )
 
-// These constants repeat numbers of the simulator's protocol instead of using the constants of package simproto. As a
-// consequence, the tests fail if a constant of package simproto changes.
+// These constants repeat numbers of the simulator's protocol instead of using the constants of package
+// simproto. As a consequence, the tests fail if a constant of package simproto changes.
 const (
 	wireStatusCancelled = 250
 	wireStatusLost      = 251
@@ -24,8 +24,9 @@
 	wireNodeStateReady  = 1
 )
 
-// recordingPlacer passes the events of the dispatch core to a placer and records the events and the resulting actions. The
-// dispatch core is dispatch.Core, the state machine of a scheduler that runs outside the simulator.
+// recordingPlacer passes the events of the dispatch core to a placer and records the events and the resulting
+// actions. The dispatch core is dispatch.Core, the state machine of a scheduler that runs outside the
+// simulator.
 type recordingPlacer struct {
 	placer      *placer.Placer
 	events      []string
@@ -33,8 +34,8 @@
 	firedTimers []uint64
 }
 
-// describeEvent returns an event as text. Texts are compared instead of events because a field of a load report that is not
-// reported is NaN, and NaN does not equal itself.
+// describeEvent returns an event as text. Texts are compared instead of events because a field of a load
+// report that is not reported is NaN, and NaN does not equal itself.
 func describeEvent(event placer.Event) string {
 	report := event.Report
 	event.Report = nil
@@ -55,8 +56,8 @@
 	return actions
 }
 
-// driverPair holds the two drivers of a placer: the adapter for the simulator, and the dispatch core of the platform, which
-// is the system outside the simulator. The tests send both drivers the same events.
+// driverPair holds the two drivers of a placer: the adapter for the simulator, and the dispatch core of the
+// platform, which is the system outside the simulator. The tests send both drivers the same events.
 type driverPair struct {
 	t                *testing.T
 	adapter          *adapter
@@ -89,9 +90,9 @@
 	drivers.adapterActions = append(drivers.adapterActions, drivers.adapter.actions...)
 }
 
-// compareAndReset compares the recorded events and actions of both drivers and then clears them. Before the comparison, it
-// calls PrepareSend for the attempts that the dispatch core wants to send. The platform's server does this before it sends
-// an attempt to a node.
+// compareAndReset compares the recorded events and actions of both drivers and then clears them. Before the
+// comparison, it calls PrepareSend for the attempts that the dispatch core wants to send. The platform's
+// server does this before it sends an attempt to a node.
 func (drivers *driverPair) compareAndReset(step string) {
 	drivers.t.Helper()
 	for _, effect := range drivers.core.Ready() {
@@ -139,8 +140,8 @@
 	drivers.now = until
 }
 
-// completeAttemptEvent returns the simulator's event with the task, attempt, node and elapsed time of the pending attempt for
-// the task with the given ID. An event without a code becomes EventAttemptEnded.
+// completeAttemptEvent returns the simulator's event with the task, attempt, node and elapsed time of the
+// pending attempt for the task with the given ID. An event without a code becomes EventAttemptEnded.
 func (drivers *driverPair) completeAttemptEvent(id uint64, event simproto.Event) simproto.Event {
 	started := drivers.pendingStarts[id]
 	if event.Code == 0 {
--- a/internal/simbridge/simadapter/equivalence_test.go
+++ b/internal/simbridge/simadapter/equivalence_test.go
@@ -12,7 +12,8 @@
 	"heathshed/placer"
 )
 
-// newDriverPair starts the adapter and the dispatch core with the same settings, the same seed and the same six nodes.
+// newDriverPair starts the adapter and the dispatch core with the same settings, the same seed and the same
+// six nodes.
 func newDriverPair(t *testing.T) *driverPair {
 	t.Helper()
 	settings, err := simconfig.Parse([]byte(testSettingsWithNames))
@@ -63,8 +64,8 @@
 	return protocol.Message{Kind: protocol.Stop, Cause: cause, HasCause: true}
 }
 
-// bindAttempt makes the node accept the attempt for a task and report the usage of the task. If finishes is true, the node
-// then reports the end of the task.
+// bindAttempt makes the node accept the attempt for a task and report the usage of the task. If finishes is
+// true, the node then reports the end of the task.
 func (drivers *driverPair) bindAttempt(id uint64, finishes bool) {
 	drivers.t.Helper()
 	drivers.sendFromNode(id, protocol.Message{Kind: protocol.Running, Body: `"y"`})
@@ -80,12 +81,13 @@
 	}
 }
 
-// Results from the simulator apply to the platform, the system outside the simulator, only if the placer receives the same
-// events in both. The test applies the same requests, answers, failures and timeouts to both drivers of a placer, and fails
-// at the first step whose events or actions differ.
+// Results from the simulator apply to the platform, the system outside the simulator, only if the placer
+// receives the same events in both. The test applies the same requests, answers, failures and timeouts to
+// both drivers of a placer, and fails at the first step whose events or actions differ.
 func TestSimulatorAndPlatformGiveThePlacerTheSameEvents(t *testing.T) {
 	drivers := newDriverPair(t)
-	// Each of these functions gives an attempt one outcome on the platform and returns the simulator's event for that outcome.
+	// Each of these functions gives an attempt one outcome on the platform and returns the simulator's event
+	// for that outcome.
 	outcomes := map[int]func(id uint64) simproto.Event{
 		// The node rejects the attempt because it has too little free memory.
 		3: func(id uint64) simproto.Event {
@@ -137,7 +139,8 @@
 	}
 }
 
-// nodeNamesInIDOrder returns n node names in ascending order of their node IDs, which is the order of a cached node list.
+// nodeNamesInIDOrder returns n node names in ascending order of their node IDs, which is the order of a
+// cached node list.
 func nodeNamesInIDOrder(n int) []string {
 	var names []string
 	for i := 0; len(names) < n; i++ {
--- a/internal/simbridge/simadapter/simadapter.go
+++ b/internal/simbridge/simadapter/simadapter.go
@@ -1,6 +1,7 @@
-// Package simadapter runs placers under the simulator. It translates the events of the simulator into events of the placer,
-// and the actions of the placer into action records of the simulator's protocol. Each scheduler instance has its own
-// Placer, whose state is separate from all others. The command cmd/simadapter calls Run, which is the entry point.
+// Package simadapter runs placers under the simulator. It translates the events of the simulator into events
+// of the placer, and the actions of the placer into action records of the simulator's protocol. Each
+// scheduler instance has its own Placer, whose state is separate from all others. The command cmd/simadapter
+// calls Run, which is the entry point.
 package simadapter
 
 import (
@@ -25,8 +26,9 @@
 	warnings  io.Writer
 }
 
-// Run reads batches of events from in and writes the replies to out until the input ends. It writes a line to warnings for
-// each event of an unknown scheduler instance. If a batch is invalid, Run returns an error and does not reply to it.
+// Run reads batches of events from in and writes the replies to out until the input ends. It writes a line to
+// warnings for each event of an unknown scheduler instance. If a batch is invalid, Run returns an error and
+// does not reply to it.
 func Run(in io.Reader, out io.Writer, warnings io.Writer) error {
 	reader := simproto.NewReader(bufio.NewReaderSize(in, inputBufferBytes))
 	a := &adapter{instances: map[uint32]*instance{}, warnings: warnings}
@@ -47,7 +49,8 @@
 	}
 }
 
-// handleBatch handles all events of a batch and adds the resulting actions to the reply in the adapter's writer.
+// handleBatch handles all events of a batch and adds the resulting actions to the reply in the adapter's
+// writer.
 func (a *adapter) handleBatch(reader *simproto.Reader, batch simproto.Batch) error {
 	var record simproto.Event
 	a.writer.Start(batch.Number)
@@ -105,8 +108,8 @@
 	a.nodeLists[record.ListNumber] = list
 }
 
-// handlePlacerEvent passes one event to the placer of an instance and adds the resulting actions to the reply. If the
-// placer panics, the reply reports the panic for this instance.
+// handlePlacerEvent passes one event to the placer of an instance and adds the resulting actions to the
+// reply. If the placer panics, the reply reports the panic for this instance.
 func (a *adapter) handlePlacerEvent(now placer.Seconds, instanceID uint32, target *instance, event placer.Event) {
 	defer func() {
 		if panicValue := recover(); panicValue != nil {
--- a/internal/simbridge/simadapter/simadapter_test.go
+++ b/internal/simbridge/simadapter/simadapter_test.go
@@ -20,8 +20,8 @@
  "loadReport":{"fields":["x1","utilization"],"how":"answers"},"permissions":{"mostTries":3},
  "rules":{"answerSlackS":0.01,"askWithinS":9,"fallS":1,"warmWithinS":8}}`
 
-// testSettingsWithNames extends testSettings by the names of task classes, tenants, zones and node types. The settings of a
-// scheduler that runs outside the simulator contain these names.
+// testSettingsWithNames extends testSettings by the names of task classes, tenants, zones and node types. The
+// settings of a scheduler that runs outside the simulator contain these names.
 var testSettingsWithNames = strings.NewReplacer(`"discovery":"push"`, `"discovery":"push","flavors":["small","large"],"zones":["a","b"],
  "orgs":[{"name":"north"},{"name":"south"}]`, `{"effect":"idempotent"`, `{"name":"query","effect":"idempotent"`,
 	`{"effect":"dedup`, `{"name":"seats","effect":"dedup`).Replace(testSettings)
@@ -31,8 +31,8 @@
 // testInstance is the number of the scheduler instance that the tests start.
 const testInstance = uint32(4)
 
-// instanceStartRecords returns records that start the scheduler instance testInstance and give it a list of one node. The
-// records in the argument further follow them.
+// instanceStartRecords returns records that start the scheduler instance testInstance and give it a list of
+// one node. The records in the argument further follow them.
 func instanceStartRecords(settings string, further ...[]byte) [][]byte {
 	return append([][]byte{
 		simwire.Record(uint8(19), testInstance, uint64(9), uint32(len(settings)), []byte(settings)),
--- a/internal/simbridge/simadapter/translate.go
+++ b/internal/simbridge/simadapter/translate.go
@@ -8,8 +8,8 @@
 	"heathshed/placer"
 )
 
-// translateEvent converts an event record to an event of the placer. It returns false for events that the placer does not
-// use: the results of health checks and the messages of peers.
+// translateEvent converts an event record to an event of the placer. It returns false for events that the
+// placer does not use: the results of health checks and the messages of peers.
 func (inst *instance) translateEvent(record *simproto.Event, lists *[simproto.MaxNodeLists][]placer.Node) (placer.Event, bool, error) {
 	event := placer.Event{TaskID: placer.TaskID(record.TaskID), Node: placer.NodeID(record.Node), Attempt: int(record.Attempt)}
 	var err error
@@ -40,8 +40,8 @@
 	return event, err == nil, err
 }
 
-// lookupNodeList returns the kind of the node list to which the record refers, and the nodes of that list. It returns no
-// nodes if the request for the list failed.
+// lookupNodeList returns the kind of the node list to which the record refers, and the nodes of that list. It
+// returns no nodes if the request for the list failed.
 func lookupNodeList(record *simproto.Event, lists *[simproto.MaxNodeLists][]placer.Node) (placer.ListKind, []placer.Node, error) {
 	var kind placer.ListKind
 	switch record.ListKind {
@@ -120,9 +120,9 @@
 	return 0, fmt.Errorf("unknown status %d of an attempt", status)
 }
 
-// parseLoadReport returns the load report with the given values, which are in the order of the report fields in the
-// settings. It ignores values beyond the last field and returns nil if there are no values. The result is valid until
-// the next call of parseLoadReport.
+// parseLoadReport returns the load report with the given values, which are in the order of the report fields
+// in the settings. It ignores values beyond the last field and returns nil if there are no values. The result
+// is valid until the next call of parseLoadReport.
 func (inst *instance) parseLoadReport(values []float32) *placer.Report {
 	if len(values) == 0 {
 		return nil
--- a/internal/simbridge/simconfig/characterization_test.go
+++ b/internal/simbridge/simconfig/characterization_test.go
@@ -1,8 +1,8 @@
 package simconfig_test
 
-// These characterization tests detect changes in the interpretation of settings. They pin every field of the result of
-// Parse for three variants of settings, and the errors for invalid settings. Package goldentest documents how golden
-// files are compared and written.
+// These characterization tests detect changes in the interpretation of settings. They pin every field of the
+// result of Parse for three variants of settings, and the errors for invalid settings. Package goldentest
+// documents how golden files are compared and written.
 
 import (
 	"fmt"
@@ -19,8 +19,8 @@
 const minimalSettings = `{"peersTotal":1,"permissions":{"mostTries":1},"extra":{"coresByKind":[4],"kindMemory":[8]},
  "lanes":[{"effect":"idempotent","hardLimitS":4,"objectiveS":1}]}`
 
-// shortListSettings contains unknown keys and lists with fewer values than there are task classes. The last value of such a
-// list applies to the remaining task classes.
+// shortListSettings contains unknown keys and lists with fewer values than there are task classes. The last
+// value of such a list applies to the remaining task classes.
 const shortListSettings = `{"discovery":"push","me":1,"myZone":2,"peersTotal":3,"unheardOf":{"a":[1]},"roundS":0.05,
  "extra":{"admitMemory":1.5,"apartBy":["none","cell","zone"],"classKind":[1],"coresByKind":[8,16],"counts":"used","cpuBooking":2,
   "freeInList":true,"fullUpTo":[1,0.8],"fadesOver":[1,0.2],"kindMemory":[16,32],"precedence":[0,2],"saysYes":"running",
@@ -33,8 +33,8 @@
  "loadReport":{"fields":["x1","utilization"],"how":"answers"},"permissions":{"mostTries":3},
  "rules":{"answerSlackS":0.01,"askWithinS":9,"fallS":1,"warmWithinS":8}}`
 
-// completeSettings contains every key that Parse uses. Fields that Parse could mistake for each other have different numbers,
-// which makes the test fail if Parse exchanges two of them.
+// completeSettings contains every key that Parse uses. Fields that Parse could mistake for each other have
+// different numbers, which makes the test fail if Parse exchanges two of them.
 const completeSettings = `{"discovery":"ask","me":4,"myZone":5,"peersTotal":6,"roundS":0.11,"overShareWorth":0.12,
  "flavors":["small","large","wide"],"zones":["a","b","c"],
  "extra":{"admitMemory":1.21,"apartBy":["machine","all","zone"],"bound":true,"classKind":[2,0,1],"coresByKind":[8.1,16.1,32.1],
@@ -50,10 +50,11 @@
  "tariffs":{"crossZone":0.31,"fleet":0.32,"moves":0.33},
  "rules":{"answerSlackS":0.41,"askWithinS":42.1,"coldFrom":0.43,"drainGraceS":4.4,"fallS":4.5,"overloadFactor":4.6,"warmWithinS":4.7}}`
 
-// describeSettings returns all fields of the settings as text in a fixed order. Integers are written in decimal, floating
-// point numbers as their bits, and strings in quotes. Each line begins with the number of its group of fields: 1 is for the
-// integers and switches of the placer configuration, 2 and 3 are for its floating point numbers, 4 is for one task class,
-// 5 for one node type, 6 for one tenant, 7 for the lists of names, and 8 for the idle timeout and the batch interval.
+// describeSettings returns all fields of the settings as text in a fixed order. Integers are written in
+// decimal, floating point numbers as their bits, and strings in quotes. Each line begins with the number of
+// its group of fields: 1 is for the integers and switches of the placer configuration, 2 and 3 are for its
+// floating point numbers, 4 is for one task class, 5 for one node type, 6 for one tenant, 7 for the lists of
+// names, and 8 for the idle timeout and the batch interval.
 func describeSettings(settings *simconfig.Settings) string {
 	var text strings.Builder
 	writeFloats := func(values ...float64) {
@@ -105,7 +106,8 @@
 	goldentest.CheckText(t, "settings", text.String())
 }
 
-// TestCharacterizationOfInvalidSettings pins which settings are rejected and the error texts, which name the JSON keys.
+// TestCharacterizationOfInvalidSettings pins which settings are rejected and the error texts, which name the
+// JSON keys.
 func TestCharacterizationOfInvalidSettings(t *testing.T) {
 	for _, testCase := range []struct{ old, new, wantError string }{
 		{`"idempotent"`, `"idempotent"`, ""},
@@ -126,8 +128,8 @@
 	}
 }
 
-// TestCharacterizationOfSetReportField pins which field of a load report SetReportField sets for each field name in the
-// settings. All other fields stay NaN.
+// TestCharacterizationOfSetReportField pins which field of a load report SetReportField sets for each field
+// name in the settings. All other fields stay NaN.
 func TestCharacterizationOfSetReportField(t *testing.T) {
 	for fieldName, wantDigits := range map[string]string{"x0": "1000", "x1": "0100", "utilization": "0010", "backlog": "0001", "other": "0000"} {
 		report := simconfig.EmptyReport()
@@ -138,8 +140,8 @@
 	}
 }
 
-// describeReport returns one character for each value of a load report: 0 if the value is NaN, 1 if the value is 2.5, and ?
-// otherwise. The order of the values is free cores, free memory, utilization and queue length.
+// describeReport returns one character for each value of a load report: 0 if the value is NaN, 1 if the value
+// is 2.5, and ? otherwise. The order of the values is free cores, free memory, utilization and queue length.
 func describeReport(report placer.Report) string {
 	var text strings.Builder
 	for _, value := range []float64{report.FreeCores, report.FreeMemory, report.Utilization, report.QueueLength} {
--- a/internal/simbridge/simconfig/report.go
+++ b/internal/simbridge/simconfig/report.go
@@ -12,8 +12,8 @@
 	return placer.Report{FreeCores: unset, FreeMemory: unset, Utilization: unset, QueueLength: unset}
 }
 
-// SetReportField sets one field of a load report. The settings refer to the field by the given name; an unknown name is
-// ignored.
+// SetReportField sets one field of a load report. The settings refer to the field by the given name; an
+// unknown name is ignored.
 func SetReportField(report *placer.Report, fieldName string, value float64) {
 	switch fieldName {
 	case "x0":
--- a/internal/simbridge/simconfig/settings.go
+++ b/internal/simbridge/simconfig/settings.go
@@ -2,12 +2,14 @@
 
 import "heathshed/placer"
 
-// settings is the JSON form of the settings. It has one field for each key that Parse uses; the decoder ignores all other
-// keys. The fields have the names of the keys. Fields whose names end in S are durations in seconds.
+// settings is the JSON form of the settings. It has one field for each key that Parse uses; the decoder
+// ignores all other keys. The fields have the names of the keys. Fields whose names end in S are durations in
+// seconds.
 //
-// Some keys differ from the terms of the code: a lane is a task class, an org is a tenant, and a kind or flavor is a node
-// type. The key effect is the idempotency of a task class, keyScope is its deduplication domain, and mostTries is the
-// maximum number of attempts. The key retryAfter is a switch: if it is true, rejections tell the client when to try again.
+// Some keys differ from the terms of the code: a lane is a task class, an org is a tenant, and a kind or
+// flavor is a node type. The key effect is the idempotency of a task class, keyScope is its deduplication
+// domain, and mostTries is the maximum number of attempts. The key retryAfter is a switch: if it is true,
+// rejections tell the client when to try again.
 type settings struct {
 	Discovery string `json:"discovery"`
 	Extra     struct {
--- a/internal/simbridge/simconfig/simconfig.go
+++ b/internal/simbridge/simconfig/simconfig.go
@@ -1,7 +1,7 @@
-// Package simconfig parses the settings of a scheduler. The simulator sends these settings when it starts a scheduler
-// instance; a scheduler on the platform reads them from its configuration file. Package simadapter and the platform's
-// server both call Parse, which gives the placer the same configuration in both environments. Package dispatch uses the
-// parsed Settings. The package does no I/O and has no state.
+// Package simconfig parses the settings of a scheduler. The simulator sends these settings when it starts a
+// scheduler instance; a scheduler on the platform reads them from its configuration file. Package simadapter
+// and the platform's server both call Parse, which gives the placer the same configuration in both
+// environments. Package dispatch uses the parsed Settings. The package does no I/O and has no state.
 package simconfig
 
 import (
@@ -14,21 +14,22 @@
 // Settings holds the configuration of the placer and the other settings that a scheduler needs.
 type Settings struct {
 	Placer placer.Config
-	// These lists hold the names of task classes, tenants, zones and node types. The placer uses the index of a name
-	// instead of the name, and a name that is not in its list is unknown. Lists of values by task class, such as
-	// extra.startBonusS, are extended instead: the last value applies to all task classes beyond the end of the list.
+	// These lists hold the names of task classes, tenants, zones and node types. The placer uses the index of
+	// a name instead of the name, and a name that is not in its list is unknown. Lists of values by task
+	// class, such as extra.startBonusS, are extended instead: the last value applies to all task classes
+	// beyond the end of the list.
 	ClassNames, TenantNames, ZoneNames, NodeTypeNames []string
 	// ReportFields holds the names of the values of a load report, in the order in which a report has them.
 	ReportFields []string
-	// IdleTimeout is the time after which a node closes an idle connection of the scheduler. It is 0 if the settings
-	// do not contain the key permissions.connIdleS.
+	// IdleTimeout is the time after which a node closes an idle connection of the scheduler. It is 0 if the
+	// settings do not contain the key permissions.connIdleS.
 	IdleTimeout placer.Seconds
 	// BatchInterval is the minimum time between two batches of events.
 	BatchInterval placer.Seconds
 }
 
-// Three keys of the settings each choose between two modes. Each of these constants is the value of one key that selects
-// the mode described beside the constant; any other value of the key selects the opposite mode.
+// Three keys of the settings each choose between two modes. Each of these constants is the value of one key
+// that selects the mode described beside the constant; any other value of the key selects the opposite mode.
 const (
 	pollingDiscovery       = "ask"     // With this value of the key discovery, node lists are sent only on request.
 	acknowledgementOnStart = "running" // With this value of extra.saysYes, a node accepts a task when the task runs.
@@ -137,8 +138,8 @@
 	return class, nil
 }
 
-// placerNodeTypes returns the node types. The keys extra.coresByKind and extra.kindMemory contain the cores and the memory of
-// the node types; both lists must have the same length.
+// placerNodeTypes returns the node types. The keys extra.coresByKind and extra.kindMemory contain the cores
+// and the memory of the node types; both lists must have the same length.
 func (s *settings) placerNodeTypes() ([]placer.NodeType, error) {
 	cores, memory := s.Extra.CoresByKind, s.Extra.KindMemory
 	if len(memory) != len(cores) {
@@ -151,8 +152,8 @@
 	return types, nil
 }
 
-// valueOrLast returns the value with the given index. It returns the last value if the index is beyond the end of the list,
-// and the fallback if the list is empty.
+// valueOrLast returns the value with the given index. It returns the last value if the index is beyond the
+// end of the list, and the fallback if the list is empty.
 func valueOrLast[T any](values []T, index int, fallback T) T {
 	if len(values) == 0 {
 		return fallback
@@ -173,8 +174,8 @@
 	return placer.Idempotent, fmt.Errorf("unknown value %q", name)
 }
 
-// parseTopologyDomain returns the topology domain that has the given name in the settings. The settings call a node a
-// machine, a rack a cell and the cluster all.
+// parseTopologyDomain returns the topology domain that has the given name in the settings. The settings call
+// a node a machine, a rack a cell and the cluster all.
 func parseTopologyDomain(name string) (placer.TopologyDomain, error) {
 	switch name {
 	case "none", "":
--- a/internal/simbridge/simproto/characterization_test.go
+++ b/internal/simbridge/simproto/characterization_test.go
@@ -1,8 +1,8 @@
 package simproto_test
 
-// These characterization tests detect changes of the binary protocol. They pin the event that is read for each event
-// code, the bytes that Writer emits for each action, and which truncated inputs are rejected. Package goldentest
-// documents how golden files are compared and written.
+// These characterization tests detect changes of the binary protocol. They pin the event that is read for
+// each event code, the bytes that Writer emits for each action, and which truncated inputs are rejected.
+// Package goldentest documents how golden files are compared and written.
 
 import (
 	"bytes"
@@ -51,9 +51,9 @@
 	}
 }
 
-// describeEvent returns all fields of an event as text in a fixed order. Floating point numbers are written as their bits
-// and byte strings in hexadecimal. The label load precedes the number of load values, and the label list precedes the
-// number of entries of a node list; the values and the entries follow these numbers.
+// describeEvent returns all fields of an event as text in a fixed order. Floating point numbers are written
+// as their bits and byte strings in hexadecimal. The label load precedes the number of load values, and the
+// label list precedes the number of entries of a node list; the values and the entries follow these numbers.
 func describeEvent(event *simproto.Event) string {
 	var text strings.Builder
 	bits := func(value placer.Seconds) uint64 { return math.Float64bits(float64(value)) }
@@ -98,8 +98,8 @@
 	goldentest.CheckText(t, "events", text.String())
 }
 
-// countReadable returns the number of records that are read from the input before an error, and whether an error occurred.
-// The number is -1 if Next rejects the batch.
+// countReadable returns the number of records that are read from the input before an error, and whether an
+// error occurred. The number is -1 if Next rejects the batch.
 func countReadable(input []byte) (count int, rejected bool) {
 	reader := simproto.NewReader(bytes.NewReader(input))
 	batch, err := reader.Next()
@@ -116,8 +116,8 @@
 	return count, false
 }
 
-// TestCharacterizationOfInvalidInput pins whether the Reader accepts each record truncated to every length, every event
-// code with zero fields, every list number, and a whole batch truncated to every length.
+// TestCharacterizationOfInvalidInput pins whether the Reader accepts each record truncated to every length,
+// every event code with zero fields, every list number, and a whole batch truncated to every length.
 func TestCharacterizationOfInvalidInput(t *testing.T) {
 	var text strings.Builder
 	rejectedDigit := map[bool]byte{false: '0', true: '1'}
--- a/internal/simbridge/simproto/reader.go
+++ b/internal/simbridge/simproto/reader.go
@@ -34,7 +34,8 @@
 // NewReader returns a Reader that reads from input.
 func NewReader(input io.Reader) *Reader { return &Reader{input: input} }
 
-// Next reads the next batch and returns its header. It returns io.EOF if the input ends before the first byte of a batch.
+// Next reads the next batch and returns its header. It returns io.EOF if the input ends before the first byte
+// of a batch.
 func (r *Reader) Next() (Batch, error) {
 	if _, err := io.ReadFull(r.input, r.header[:]); err != nil {
 		if errors.Is(err, io.EOF) {
@@ -87,7 +88,8 @@
 // RemainingBytes returns the number of unread bytes of the current batch.
 func (r *Reader) RemainingBytes() int { return len(r.body) - r.offset }
 
-// Read reads the next record of the current batch into event. After an error, the rest of the batch cannot be read.
+// Read reads the next record of the current batch into event. After an error, the rest of the batch cannot be
+// read.
 func (r *Reader) Read(event *Event) error {
 	r.recordCode = 0
 	start := r.offset
@@ -108,8 +110,8 @@
 	return r.err
 }
 
-// readTaskEvent reads the fields of an event that concerns a task or one of its attempts. It returns false for any other
-// event. The order of the read calls is the order of the fields in the record.
+// readTaskEvent reads the fields of an event that concerns a task or one of its attempts. It returns false
+// for any other event. The order of the read calls is the order of the fields in the record.
 func (r *Reader) readTaskEvent(event *Event) bool {
 	switch event.Code {
 	case EventTaskArrived:
@@ -136,7 +138,8 @@
 	return true
 }
 
-// readOtherEvent reads the fields of an event that does not concern a task. It returns false if the event code is unknown.
+// readOtherEvent reads the fields of an event that does not concern a task. It returns false if the event
+// code is unknown.
 func (r *Reader) readOtherEvent(event *Event) bool {
 	switch event.Code {
 	case EventInstanceStart:
--- a/internal/simbridge/simproto/simproto.go
+++ b/internal/simbridge/simproto/simproto.go
@@ -1,14 +1,14 @@
-// Package simproto reads batches of events and writes replies in the binary protocol of the simulator. All numbers are
-// little endian, and all times are floating point numbers of seconds. The package only encodes and decodes records.
-// Package simadapter calls this package and translates the events and actions for the placer. Reader.Next and
-// Writer.Start are the entry points.
+// Package simproto reads batches of events and writes replies in the binary protocol of the simulator. All
+// numbers are little endian, and all times are floating point numbers of seconds. The package only encodes
+// and decodes records. Package simadapter calls this package and translates the events and actions for the
+// placer. Reader.Next and Writer.Start are the entry points.
 //
-// A batch consists of a header and event records. The header has four fields: the batch number (4 bytes), the number of
-// bytes that follow this length field (4 bytes), the number of records (4 bytes) and the clock time (8 bytes).
-// A reply consists of a header and action records. The header has three fields of 4 bytes each: the batch number, the
-// number of records and the total length of the records in bytes.
-// Each record begins with its code (1 byte). The number of the scheduler instance that the record concerns follows the
-// code (4 bytes), except in EventDefineList, whose lists are shared by all instances.
+// A batch consists of a header and event records. The header has four fields: the batch number (4 bytes), the
+// number of bytes that follow this length field (4 bytes), the number of records (4 bytes) and the clock time
+// (8 bytes). A reply consists of a header and action records. The header has three fields of 4 bytes each:
+// the batch number, the number of records and the total length of the records in bytes. Each record begins
+// with its code (1 byte). The number of the scheduler instance that the record concerns follows the code (4
+// bytes), except in EventDefineList, whose lists are shared by all instances.
 package simproto
 
 import "heathshed/placer"
@@ -54,7 +54,8 @@
 // ListKind is the kind of a node list in an EventNodesListed event.
 type ListKind uint8
 
-// The kinds of node lists have these values in the protocol. ListFailed reports that the request for the list failed.
+// The kinds of node lists have these values in the protocol. ListFailed reports that the request for the list
+// failed.
 const (
 	ListFull    ListKind = 0
 	ListCached  ListKind = 1
@@ -89,17 +90,19 @@
 // TaskFlags are the flag bits in the record of a task.
 type TaskFlags uint8
 
-// retryFlagMask contains the flag bits that mark a repeated request. Either bit alone marks the request as a retry.
+// retryFlagMask contains the flag bits that mark a repeated request. Either bit alone marks the request as a
+// retry.
 const retryFlagMask TaskFlags = 2 | 16
 
 // IsRetry reports whether the client has requested the same task before.
 func (f TaskFlags) IsRetry() bool { return f&retryFlagMask != 0 }
 
-// MaxNodeLists is the maximum number of node lists that the simulator can define. The lists are numbered from 0.
+// MaxNodeLists is the maximum number of node lists that the simulator can define. The lists are numbered from
+// 0.
 const MaxNodeLists = 16
 
-// NodeAddress holds the six bytes of a node's address, packed into an integer. An address that was read and is written
-// again has the same six bytes.
+// NodeAddress holds the six bytes of a node's address, packed into an integer. An address that was read and
+// is written again has the same six bytes.
 type NodeAddress uint64
 
 // NodeEntry describes one node in a node list.
@@ -114,8 +117,8 @@
 	StartedAt      placer.Seconds
 }
 
-// Event holds the fields of one event record. The event code determines which fields are set. The slices are valid
-// until the next call of Reader.Read.
+// Event holds the fields of one event record. The event code determines which fields are set. The slices are
+// valid until the next call of Reader.Read.
 type Event struct {
 	Code                            EventCode
 	Instance                        uint32
--- a/internal/simbridge/simproto/writer.go
+++ b/internal/simbridge/simproto/writer.go
@@ -9,11 +9,12 @@
 
 const replyHeaderBytes = 12
 
-// watchWithChanges is the last byte of an ActionWatchNodes record. It requests the node list and all later changes of the list.
+// watchWithChanges is the last byte of an ActionWatchNodes record. It requests the node list and all later
+// changes of the list.
 const watchWithChanges = 1
 
-// Writer builds one reply at a time. Start begins the reply, the methods named after actions add records to it, and
-// Finish completes it. The zero value of Writer is ready to use.
+// Writer builds one reply at a time. Start begins the reply, the methods named after actions add records to
+// it, and Finish completes it. The zero value of Writer is ready to use.
 type Writer struct {
 	reply       []byte
 	actionCount uint32
@@ -41,8 +42,8 @@
 	w.writeNodeAddress(node)
 }
 
-// Reject answers the client that the task was not placed. If the given duration is not 0, the client may request the task
-// again when that duration has passed.
+// Reject answers the client that the task was not placed. If the given duration is not 0, the client may
+// request the task again when that duration has passed.
 func (w *Writer) Reject(instance uint32, taskID uint64, after placer.Seconds) {
 	w.beginAction(ActionReject, instance)
 	w.writeU64(taskID)
@@ -113,8 +114,8 @@
 	w.reply = binary.LittleEndian.AppendUint16(w.reply, uint16(node>>32))
 }
 
-// writeText writes the length of a text as 2 bytes and then the text. A text is truncated to 65535 bytes, the maximum
-// that 2 bytes can express.
+// writeText writes the length of a text as 2 bytes and then the text. A text is truncated to 65535 bytes, the
+// maximum that 2 bytes can express.
 func (w *Writer) writeText(text string) {
 	text = text[:min(len(text), math.MaxUint16)]
 	w.reply = binary.LittleEndian.AppendUint16(w.reply, uint16(len(text)))
